--- a/bench/merge_bench.cpp
+++ b/bench/merge_bench.cpp
@@ -45,7 +45,7 @@
   const Observation o = answer(state.range(0), 1000 * kSecond);
   for (auto _ : state) {
     Membership m(Settings{}, {false}, true, {}, 1000 * kSecond);
-    m.roster(ListMode::Full, roster, 1000 * kSecond);
+    m.roster(EndpointListKind::Full, roster, 1000 * kSecond);
     m.observe(o, 1000 * kSecond);
     benchmark::DoNotOptimize(m.settle(1000 * kSecond));
   }
@@ -76,13 +76,14 @@
   Micros now = 1000 * kSecond;
   Membership m(Settings{}, {false}, true, {}, now);
   auto roster = rosterOf(state.range(0));
-  m.roster(ListMode::Full, roster, now);
+  m.roster(EndpointListKind::Full, roster, now);
   m.observe(answer(state.range(0), now), now);
   m.settle(now);
   RosterEntry one = roster[roster.size() / 2];
   for (auto _ : state) {
-    one.entry.state = one.entry.state == ServerState::Ready ? ServerState::Draining : ServerState::Ready;
-    m.roster(ListMode::Delta, {one}, ++now);
+    one.entry.state =
+        one.entry.state == EndpointState::Ready ? EndpointState::Draining : EndpointState::Ready;
+    m.roster(EndpointListKind::Delta, {one}, ++now);
     benchmark::DoNotOptimize(m.settle(now));
   }
   state.SetComplexityN(state.range(0));
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -17,7 +17,7 @@
 struct World {
   Scenario scenario;
   config::Config config;
-  std::unique_ptr<Director> director;
+  std::unique_ptr<DecisionEngine> engine;
   Micros now = 1000 * kSecond;
   std::vector<std::string> reports;  // of one second
 
@@ -28,22 +28,22 @@
     const net::Address local{"127.0.0.1", 1}, other{"127.0.0.1", 2}, third{"127.0.0.1", 3};
     config =
         config::parse(configText(scenario, 0, local, other, third), [](const char*) { return std::nullopt; });
-    director = std::make_unique<Director>(1, config.settings);
-    ListNews list;
+    engine = std::make_unique<DecisionEngine>(1, config.settings);
+    EndpointListUpdate list;
     list.version = 1;
     for (int k = 0; k < servers; ++k) {
-      ServerEntry entry;
+      Endpoint entry;
       entry.server = serverName(scenario, k);
       entry.zone = zoneOf(scenario, k);
-      list.entries.push_back(entry);
+      list.endpoints.push_back(entry);
     }
     std::vector<Event> events{list};
-    for (int p = 0; p < kProxies; ++p) events.push_back(ProxyJoined{p, p % kZones, 1, false});
+    for (int p = 0; p < kProxies; ++p) events.push_back(ProxyConnected{p, p % kZones, 1, false});
     for (int k = 0; k < scenario.sizes.slices; ++k) {
-      events.push_back(SliceCharge{k, true});
-      events.push_back(StoredLine{k, serverName(scenario, homeOf(scenario, 0, k)), 1});
+      events.push_back(SliceAssignment{k, true});
+      events.push_back(StoredRoute{k, serverName(scenario, homeOf(scenario, 0, k)), 1});
     }
-    director->handle(now, events);
+    engine->handle(now, events);
     for (int zone = 0; zone < kZones; ++zone) {
       for (int k = 0; k < servers; ++k)
         reports.push_back(R"({"type":"upstream_stats","az":")" + zoneName(zone) + R"(","host":")" +
@@ -54,13 +54,13 @@
     std::vector<Event> events;
     for (const std::string& text : reports)
       events.push_back(
-          std::get<ServerReport>(clients::parseMessage(text, config.names, config.settings.slices)));
+          std::get<ServerLoadReport>(clients::parseMessage(text, config.names, config.settings.slices)));
     now += kSecond;
-    benchmark::DoNotOptimize(director->handle(now, events));
+    benchmark::DoNotOptimize(engine->handle(now, events));
   }
   void decide() {
     now += kSecond / 4;
-    benchmark::DoNotOptimize(director->handle(now, {TimerFired{"sweep"}}));
+    benchmark::DoNotOptimize(engine->handle(now, {TimerFired{"sweep"}}));
   }
 };
 
--- a/bench/turn_bench.cpp
+++ b/bench/turn_bench.cpp
@@ -17,7 +17,7 @@
   int turns = 0;
   void of(Scene& s, const std::vector<Event>& events) {
     const auto from = std::chrono::steady_clock::now();
-    s.director.handle(s.now, events);
+    s.engine.handle(s.now, events);
     const double ms =
         std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - from).count();
     worst = std::max(worst, ms);
@@ -33,13 +33,13 @@
   Settings settings = plainSettings();
   settings.slices = slices;
   settings.proxies = proxies;
-  settings.linesPerMessage = 16;
-  settings.linesPerSecond = slices * static_cast<double>(proxies) / 6;
-  settings.linesWaitingMax = 1.5 * settings.linesPerSecond;
+  settings.messageOverheadRoutes = 16;
+  settings.routesPerSecond = slices * static_cast<double>(proxies) / 6;
+  settings.pendingRoutesMax = 1.5 * settings.routesPerSecond;
   Scene s(settings, servers);
   std::printf("%d servers, %d proxies, %d of %d slices\n", servers, proxies, held, slices);
   std::vector<Event> ev = s.startEvents(held);
-  for (int p = 3; p < proxies; ++p) ev.push_back(ProxyJoined{p, p % 2, 5, true});
+  for (int p = 3; p < proxies; ++p) ev.push_back(ProxyConnected{p, p % 2, 5, true});
   Cost start, calm, drain, pressed;
   start.of(s, ev);
   const auto run = [&](Cost& cost, Micros span) {
@@ -47,15 +47,15 @@
       s.now += 250 * kMs;
       std::vector<Event> turn{TimerFired{"sweep"}};
       if (s.now / (250 * kMs) % 2 == 0) s.report(turn);
-      for (int p = 0; p < proxies; ++p) turn.push_back(OrderApplied{p, 1, kMs});
+      for (int p = 0; p < proxies; ++p) turn.push_back(UpdateAcknowledged{p, 1, kMs});
       cost.of(s, turn);
     }
   };
   run(calm, 15 * kSecond);
-  ListNews news{ListMode::Delta, 0, {}};
+  EndpointListUpdate news{EndpointListKind::Delta, 0, {}};
   for (int k = 0; k < servers / 10; ++k) {
-    news.entries.push_back(s.list[Scene::name(k)]);
-    news.entries.back().state = ServerState::Draining;
+    news.endpoints.push_back(s.list[Scene::name(k)]);
+    news.endpoints.back().state = EndpointState::Draining;
   }
   drain.of(s, {news});
   run(drain, 5 * kSecond);
--- a/bench/zone_bench.cpp
+++ b/bench/zone_bench.cpp
@@ -87,7 +87,7 @@
     const discovery::Names names = testNames();
     exchange::Exchange exchange;
     const op::Operator op = operatorOf(folder.path, {"127.0.0.1", 0});
-    const ListNews known;
+    const EndpointListUpdate known;
     const std::vector<std::string> endpoints;
     std::mt19937 random(1);
     const Micros base = 1764600000 * kSecond;
--- a/scale/machinepart.cpp
+++ b/scale/machinepart.cpp
@@ -52,23 +52,23 @@
 
 void MachinePart::onEvent(Member& member, const peargrade::Event& event) {
   ++member.events;
-  if (std::holds_alternative<ServerReport>(event) || std::holds_alternative<SliceDemand>(event))
+  if (std::holds_alternative<ServerLoadReport>(event) || std::holds_alternative<SliceLoadReport>(event))
     ++member.reports;
-  else if (const auto* news = std::get_if<ListNews>(&event))
+  else if (const auto* news = std::get_if<EndpointListUpdate>(&event))
     onList(member, *news);
-  else if (const auto* told = std::get_if<OrdersTold>(&event))
-    member.missed += !told->taken;
+  else if (const auto* told = std::get_if<UpdateDelivery>(&event))
+    member.missed += told->outcome != DeliveryOutcome::Accepted;
   else if (std::holds_alternative<TimerFired>(event))
     ++member.timers;
   else
     ++member.news;
 }
 
-void MachinePart::onList(Member& member, const ListNews& news) {
+void MachinePart::onList(Member& member, const EndpointListUpdate& news) {
   const Micros now = net::steadyNow();
-  if (news.mode == ListMode::Cached) return;
+  if (news.kind == EndpointListKind::Cached) return;
   ++member.lists;
-  if (news.mode == ListMode::Failed) {
+  if (news.kind == EndpointListKind::Failed) {
     if (member.withoutSince == 0) member.withoutSince = now;
     return;
   }
@@ -77,12 +77,12 @@
   if (member.told.size() >= kToldMost) member.told.erase(member.told.begin());
   member.told.emplace_back(news.version, now);
   if (!scenario_.checked) return;
-  if (news.mode == ListMode::Full) member.view.clear();
-  for (const ServerEntry& entry : news.entries) {
-    if (entry.state == ServerState::Gone)
+  if (news.kind == EndpointListKind::Full) member.view.clear();
+  for (const Endpoint& entry : news.endpoints) {
+    if (entry.state == EndpointState::Removed)
       member.view.erase(entry.server);
     else
-      member.view[entry.server] = entry.state == ServerState::Draining;
+      member.view[entry.server] = entry.state == EndpointState::Draining;
   }
 }
 
--- a/scale/machinepart.h
+++ b/scale/machinepart.h
@@ -45,7 +45,7 @@
     std::uint64_t events = 0, reports = 0, news = 0, lists = 0, missed = 0, timers = 0;
   };
   void onEvent(Member& member, const peargrade::Event& event);
-  void onList(Member& member, const ListNews& news);
+  void onList(Member& member, const EndpointListUpdate& news);
   config::Config configOf(int supervisor) const;
   Figures sample();
 
--- a/scale/scenario.h
+++ b/scale/scenario.h
@@ -9,7 +9,7 @@
 
 #include "kdl/kdl.h"
 #include "operator/schema.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 #include "scale/meters.h"
 
 namespace peargrade::scale {
--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -205,8 +205,8 @@
     return true;
   }
   if (peer->role != Role::Collector) return turnAway(peer, log::Reason::NotJoined, "a report before joining");
-  if (const auto* report = std::get_if<ServerReport>(&message)) exchange_.post(*report);
-  if (const auto* demand = std::get_if<SliceDemand>(&message)) exchange_.post(*demand);
+  if (const auto* report = std::get_if<ServerLoadReport>(&message)) exchange_.post(*report);
+  if (const auto* demand = std::get_if<SliceLoadReport>(&message)) exchange_.post(*demand);
   return true;
 }
 
--- a/src/clients/messages.cpp
+++ b/src/clients/messages.cpp
@@ -24,7 +24,7 @@
 template <class Report>
 void counts(const wire::Fields& f, std::int64_t Report::*all, Report& r) {
   r.*all = f.integer("n", 0, wire::kIntMax);
-  r.failed = f.integer("bad", 0, wire::kIntMax);
+  r.failures = f.integer("bad", 0, wire::kIntMax);
   r.window = micros(f, "window");
   if (r.window <= 0) wire::bad(f.where(), "'window' is 0");
 }
@@ -40,21 +40,22 @@
   if (type == "hb") return Heartbeat{};
   if (type == "telemetry") return Telemetry{placeIn(names.zones, f, "az")};
   if (type == "upstream_stats") {
-    ServerReport r;
+    ServerLoadReport r;
     r.zone = placeIn(names.zones, f, "az");
     r.server = wire::serverId(f, "host");
-    counts(f, &ServerReport::tries, r);
-    if (r.failed > r.tries) wire::bad(f.where(), "'bad' is more than 'n'");
+    counts(f, &ServerLoadReport::attempts, r);
+    if (r.failures > r.attempts) wire::bad(f.where(), "'bad' is more than 'n'");
     // The mean of what succeeded: without it a server would look as quick as none is.
-    if (r.tries > r.failed || f.find("avg") != nullptr) r.latency = micros(f, "avg");
-    if (r.tries > r.failed && r.latency <= 0) wire::bad(f.where(), "'avg' is 0");
+    if (r.attempts > r.failures || f.find("avg") != nullptr) r.meanLatency = micros(f, "avg");
+    if (r.attempts > r.failures && r.meanLatency <= 0) wire::bad(f.where(), "'avg' is 0");
     return r;
   }
   if (type == "range_stats") {
-    SliceDemand d;
+    SliceLoadReport d;
     d.slice = static_cast<TableId>(f.integer("partition", 0, slices - 1));
-    d.cls = placeIn(names.classes, f, "kind");
-    counts(f, &SliceDemand::requests, d);  // it may count failures of requests that came in an earlier window
+    d.requestClass = placeIn(names.classes, f, "kind");
+    counts(f, &SliceLoadReport::requests,
+           d);  // it may count failures of requests that came in an earlier window
     return d;
   }
   wire::bad("message", "unknown type '" + type.substr(0, 40) + "'");
--- a/src/clients/messages.h
+++ b/src/clients/messages.h
@@ -5,7 +5,7 @@
 #include <variant>
 
 #include "discovery/catalog.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::clients {
 
@@ -13,7 +13,7 @@
 struct Telemetry {  // a collector states its zone
   int zone = 0;
 };
-using Message = std::variant<Heartbeat, Telemetry, ServerReport, SliceDemand>;
+using Message = std::variant<Heartbeat, Telemetry, ServerLoadReport, SliceLoadReport>;
 
 // One JSON object. Throws wire::Malformed.
 Message parseMessage(const std::string& bytes, const discovery::Names& names, int slices);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -150,7 +150,7 @@
         c.known = discovery::parseCatalog(*known, c.names, "known");
         c.knownEndpoints = discovery::parseEndpoints(*known, "known");
       }
-      c.known.mode = ListMode::Cached;
+      c.known.kind = EndpointListKind::Cached;
     });
     readVersion(f, c);
     c.content = contentOf(f, c);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -9,7 +9,7 @@
 
 #include "discovery/catalog.h"
 #include "net/net.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::config {
 
@@ -38,7 +38,7 @@
   bool versionWrong = false;            // `version` is there and is no whole number from 0 on
   std::uint64_t content = 0;            // hash of what a running program can take over, as the file has it
   discovery::Names names;
-  ListNews known;                           // as cached; empty when there is none
+  EndpointListUpdate known;                 // as cached; empty when there is none
   std::vector<std::string> knownEndpoints;  // of its entries, in their order
 };
 
--- a/src/config/takeover.cpp
+++ b/src/config/takeover.cpp
@@ -43,8 +43,8 @@
   for (std::size_t k = 0; k < config.settings.classes.size(); ++k) {
     const RequestClass& c = config.settings.classes[k];
     const std::string of = "' of " + config.names.classes.at(k);
-    if (c.worth < 0) lines.add("settings.classes: 'worth" + of + " is below 0");
-    if (c.deadline > 0 && c.deadline < c.aim)
+    if (c.priorityWeight < 0) lines.add("settings.classes: 'worth" + of + " is below 0");
+    if (c.deadline > 0 && c.deadline < c.latencyObjective)
       lines.add("settings.classes: 'hardLimitUs" + of + " is below its 'aimUs'");
   }
 }
@@ -53,11 +53,11 @@
   const Settings& s = config.settings;
   Lines lines;
   checkClasses(config, lines);
-  for (const Range& r : {Range{"settings.extra.egressPerS", s.linesPerSecond, kAboveZero, kNoMost},
-                         Range{"settings.extra.pendingMax", s.linesWaitingMax, kAboveZero, kNoMost},
-                         Range{"settings.extra.perMessage", s.linesPerMessage, 0, kNoMost},
-                         Range{"settings.extra.tryAims", s.tryAims, 0, kNoMost},
-                         Range{"settings.rules.startCapacity", s.startCapacity, 0, 1},
+  for (const Range& r : {Range{"settings.extra.egressPerS", s.routesPerSecond, kAboveZero, kNoMost},
+                         Range{"settings.extra.pendingMax", s.pendingRoutesMax, kAboveZero, kNoMost},
+                         Range{"settings.extra.perMessage", s.messageOverheadRoutes, 0, kNoMost},
+                         Range{"settings.extra.tryAims", s.attemptTimeoutObjectives, 0, kNoMost},
+                         Range{"settings.rules.startCapacity", s.initialCapacity, 0, 1},
                          Range{"settings.rules.overloadFactor", s.overloadFactor, kAboveZero, kNoMost}})
     if (r.value < r.least || r.value > r.most) lines.add(rangeOf(r));
   return lines.as(Refusal::OutOfRange);
@@ -75,8 +75,8 @@
   stays("settings.kinds", inForce.names.kinds == next.names.kinds);
   stays("settings.extra.shards", a.slices == b.slices);
   stays("settings.extra.proxyCount", a.proxies == b.proxies);
-  stays("settings.extra.oneOwner", a.oneOwner == b.oneOwner);
-  stays("settings.extra.throttleBy", a.levelUnit == b.levelUnit);
+  stays("settings.extra.oneOwner", a.sliceOwnership == b.sliceOwnership);
+  stays("settings.extra.throttleBy", a.admissionUnit == b.admissionUnit);
   return lines.as(Refusal::Structure);
 }
 
--- a/src/discovery/catalog.cpp
+++ b/src/discovery/catalog.cpp
@@ -7,15 +7,16 @@
 
 constexpr std::int64_t kMillisMax = INT64_MAX / 1000;
 
-ServerEntry parseTarget(const wire::Fields& f, const Names& names) {
-  ServerEntry e;
+Endpoint parseTarget(const wire::Fields& f, const Names& names) {
+  Endpoint e;
   e.server = wire::serverId(f, "uid");
   e.weight = f.numberOr("capacity_hint", 1);
   e.startedAt = f.integerOr("boot_ms", 0, kMillisMax, 0) * 1000;
   e.cell = static_cast<int>(f.integerOr("pod_group", 0, wire::kIntMax, 0));
-  e.state = wire::oneOf<ServerState>(
-      f, "state",
-      {{"SERVING", ServerState::Ready}, {"DRAINING", ServerState::Draining}, {"DELETED", ServerState::Gone}});
+  e.state = wire::oneOf<EndpointState>(f, "state",
+                                       {{"SERVING", EndpointState::Ready},
+                                        {"DRAINING", EndpointState::Draining},
+                                        {"DELETED", EndpointState::Removed}});
   e.zone = placeOf(names.zones, f.text("az"));
   if (e.zone < 0) wire::bad(f.where(), "'az' is no zone of the settings");
   // A kind that the settings do not name is none that a decision could rest on.
@@ -30,14 +31,14 @@
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-ListNews parseCatalog(const wire::Value& value, const Names& names, const std::string& where) {
+EndpointListUpdate parseCatalog(const wire::Value& value, const Names& names, const std::string& where) {
   const wire::Fields f(value, where);
-  ListNews news;
+  EndpointListUpdate news;
   news.version = f.integer("rev", 0, wire::kMicrosMax);
-  news.mode = f.mark("all") ? ListMode::Full : ListMode::Delta;
+  news.kind = f.mark("all") ? EndpointListKind::Full : EndpointListKind::Delta;
   const std::string place = where + ": targets";
   for (const wire::Value& target : f.array("targets").GetArray()) {
-    news.entries.push_back(parseTarget(wire::Fields(target, place), names));
+    news.endpoints.push_back(parseTarget(wire::Fields(target, place), names));
   }
   return news;
 }
@@ -49,7 +50,7 @@
   return endpoints;
 }
 
-ListNews parseCatalog(const std::string& bytes, const Names& names, const std::string& where) {
+EndpointListUpdate parseCatalog(const std::string& bytes, const Names& names, const std::string& where) {
   rapidjson::Document doc;
   wire::parseJson(doc, bytes, where);
   return parseCatalog(doc, names, where);
--- a/src/discovery/catalog.h
+++ b/src/discovery/catalog.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 #include "wire/fields.h"
 
 namespace peargrade::discovery {
@@ -19,10 +19,10 @@
 int placeOf(const std::vector<std::string>& names, const std::string& name);
 
 // One object {"rev":..,"all":..,"targets":[..]}. Throws wire::Malformed.
-ListNews parseCatalog(const wire::Value& value, const Names& names, const std::string& where);
+EndpointListUpdate parseCatalog(const wire::Value& value, const Names& names, const std::string& where);
 // The address and port that each entry names, in the order of the entries; "" where it names none.
 std::vector<std::string> parseEndpoints(const wire::Value& value, const std::string& where);
 // The same from bytes.
-ListNews parseCatalog(const std::string& bytes, const Names& names, const std::string& where);
+EndpointListUpdate parseCatalog(const std::string& bytes, const Names& names, const std::string& where);
 
 }  // namespace peargrade::discovery
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -169,9 +169,9 @@
   try {
     rapidjson::Document doc;
     wire::parseJson(doc, line, "discovery");
-    ListNews news = parseCatalog(doc, names_, "discovery");
+    EndpointListUpdate news = parseCatalog(doc, names_, "discovery");
     // What is older than what was told cannot build on it: the whole list is asked for.
-    if (news.mode == ListMode::Delta && news.version < call.version) {
+    if (news.kind == EndpointListKind::Delta && news.version < call.version) {
       whole_ = true;
       return finish(call, log::Reason::RevisionBack,
                     std::to_string(news.version) + " after " + std::to_string(call.version), true);
@@ -187,10 +187,10 @@
     call.version = news.version;
     exchange_.listKnown();
     // A successor may begin with what the one before it has told meanwhile.
-    if (news.mode == ListMode::Delta && news.version < version_) return;
+    if (news.kind == EndpointListKind::Delta && news.version < version_) return;
     version_ = news.version;
-    log_.debug("discovery") << "list " << news.version << ", " << news.entries.size() << " entries"
-                            << (news.mode == ListMode::Full ? ", whole" : "");
+    log_.debug("discovery") << "list " << news.version << ", " << news.endpoints.size() << " entries"
+                            << (news.kind == EndpointListKind::Full ? ", whole" : "");
     if (told_) return told_(std::move(news), parseEndpoints(doc, "discovery"));
     exchange_.post(std::move(news));
   } catch (const wire::Malformed& e) {
@@ -229,7 +229,7 @@
   if (!failed || (!successor && serving() != nullptr)) return;  // the successor goes on in its place
   if (successor) return redial_.in(backoff_.next());
   redial_.cancel();
-  exchange_.post(ListNews{ListMode::Failed, 0, {}});
+  exchange_.post(EndpointListUpdate{EndpointListKind::Failed, 0, {}});
 }
 
 void Discovery::cleanUp() {
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -33,7 +33,7 @@
 
   // Where what is told goes in place of the exchange: to those who make one list of several. With the address
   // and port of each entry.
-  using Told = std::function<void(ListNews, std::vector<std::string> endpoints)>;
+  using Told = std::function<void(EndpointListUpdate, std::vector<std::string> endpoints)>;
   void tellTo(Told told) { told_ = std::move(told); }
 
   // Discovery is at another address from now on: a watch that stands serves until the new one has told.
--- a/src/dns/servers.h
+++ b/src/dns/servers.h
@@ -4,7 +4,7 @@
 #include <set>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::dns {
 
--- a/src/dns_zone/first_seen.h
+++ b/src/dns_zone/first_seen.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::dns_zone {
 
--- a/src/dns_zone/secondary.h
+++ b/src/dns_zone/secondary.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "dns_zone/record.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::dns_zone {
 
--- a/src/exchange/exchange.cpp
+++ b/src/exchange/exchange.cpp
@@ -6,13 +6,13 @@
   Orders orders;
   std::vector<Action> rest;
   for (const Action& action : actions) {
-    if (const auto* watch = std::get_if<WatchList>(&action)) {
-      if (list_) list_(watch->on ? ListCall::Watch : ListCall::Unwatch);
-    } else if (std::holds_alternative<FetchList>(action)) {
+    if (const auto* watch = std::get_if<WatchEndpoints>(&action)) {
+      if (list_) list_(watch->enabled ? ListCall::Watch : ListCall::Unwatch);
+    } else if (std::holds_alternative<PollEndpoints>(action)) {
       if (list_) list_(ListCall::Fetch);
-    } else if (std::holds_alternative<SetLine>(action) || std::holds_alternative<ClearTable>(action) ||
-               std::holds_alternative<Withdraw>(action) || std::holds_alternative<Admit>(action) ||
-               std::holds_alternative<Mark>(action)) {
+    } else if (std::holds_alternative<SetRoute>(action) || std::holds_alternative<ClearTable>(action) ||
+               std::holds_alternative<SetEjection>(action) || std::holds_alternative<SetAdmission>(action) ||
+               std::holds_alternative<AcknowledgementRequest>(action)) {
       orders.push_back(action);
     } else {
       rest.push_back(action);
--- a/src/exchange/exchange.h
+++ b/src/exchange/exchange.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::exchange {
 
@@ -18,7 +18,7 @@
   std::vector<Event> take() { return std::exchange(events_, {}); }
 
   // ---- Actions, from the supervisor to the server side ----
-  using Orders = std::vector<Action>;  // of one reply, in sequence: SetLine to Mark
+  using Orders = std::vector<Action>;  // of one reply, in sequence: SetRoute to Mark
   enum class ListCall { Watch, Unwatch, Fetch };
   void onOrders(std::function<void(const Orders&)> sink) { orders_ = std::move(sink); }
   void onListCall(std::function<void(ListCall)> sink) { list_ = std::move(sink); }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -27,7 +27,7 @@
        << " cores, " << c.limits.memoryMb << " MB, " << c.limits.sockets << " descriptors\nsettings   "
        << c.names.classes.size() << " classes, " << c.settings.slices << " slices, " << c.names.zones.size()
        << " zones, " << c.settings.supervisors << " supervisors\nknown      revision " << c.known.version
-       << ", " << c.known.entries.size() << " servers\n";
+       << ", " << c.known.endpoints.size() << " servers\n";
   return text.str();
 }
 
@@ -43,7 +43,7 @@
 int main(int argc, char** argv) {
   // Before anything that could take time; whatever else than a supervisor this turns out to be ends by them.
   if (argc > 1 && std::string(argv[1]) == "serve") peargrade::supervisor::Signals::hold();
-  CLI::App app("peargrade: a traffic director for a fleet of sidecar proxies");
+  CLI::App app("peargrade: a traffic engine for a fleet of sidecar proxies");
   app.require_subcommand(1);
   app.failure_message(CLI::FailureMessage::help);
   std::string level = "info";
--- a/src/membership/changes.cpp
+++ b/src/membership/changes.cpp
@@ -9,7 +9,7 @@
 namespace peargrade::membership {
 namespace {
 
-bool sameBut(const ServerEntry& a, const ServerEntry& b, double margin) {
+bool sameBut(const Endpoint& a, const Endpoint& b, double margin) {
   return a.startedAt == b.startedAt && a.cell == b.cell && a.zone == b.zone && a.kind == b.kind &&
          a.state == b.state && std::abs(a.weight - b.weight) <= margin * std::abs(a.weight);
 }
@@ -39,12 +39,12 @@
   const auto at = published_.find(id);
   if (!desired.listed) {
     if (at == published_.end()) return;
-    ServerEntry gone = at->second.entry;
-    ready_ -= gone.state == ServerState::Ready;
-    gone.state = ServerState::Gone;
+    Endpoint gone = at->second.entry;
+    ready_ -= gone.state == EndpointState::Ready;
+    gone.state = EndpointState::Removed;
     published_.erase(at);
-    news.list.entries.push_back(gone);
-    news.decisions.push_back({id, ServerState::Gone, desired.rule});
+    news.list.endpoints.push_back(gone);
+    news.decisions.push_back({id, EndpointState::Removed, desired.rule});
     return;
   }
   const bool records = roster_.count(id) == 0;
@@ -52,11 +52,11 @@
     at->second.rule = desired.rule;
     const bool own = records || !settings_.rosterWeights;
     if (sameBut(at->second.entry, desired.entry, own ? settings_.weightMargin : 0)) return;
-    ready_ -= at->second.entry.state == ServerState::Ready;
+    ready_ -= at->second.entry.state == EndpointState::Ready;
   }
   published_[id] = {desired.entry, desired.rule};
-  ready_ += desired.entry.state == ServerState::Ready;
-  news.list.entries.push_back(desired.entry);
+  ready_ += desired.entry.state == EndpointState::Ready;
+  news.list.endpoints.push_back(desired.entry);
   news.decisions.push_back({id, desired.entry.state, desired.rule});
 }
 
@@ -107,7 +107,7 @@
   if (desired.rule == Rule::FlapHeld) held_.insert(endpoint);
   if (desired.listed && desired.rule == Rule::TakenBack) spot.takenBack = true;
   const bool byRecords = desired.rule == Rule::Removed || desired.rule == Rule::RecordsGone;
-  if (was && !desired.listed && byRecords && told->second.entry.state == ServerState::Ready &&
+  if (was && !desired.listed && byRecords && told->second.entry.state == EndpointState::Ready &&
       ready_ <= settings_.keepLeast) {
     desired.listed = true;
     desired.entry = told->second.entry;
--- a/src/membership/desired_state.cpp
+++ b/src/membership/desired_state.cpp
@@ -23,7 +23,7 @@
   if (!desired.listed || tierNeeded(spot, view)) return;
   desired.listed = told;
   desired.rule = told ? Rule::TierLeaving : Rule::Standby;
-  if (spot.tierOut) desired.entry.state = ServerState::Draining;
+  if (spot.tierOut) desired.entry.state = EndpointState::Draining;
 }
 
 Membership::Desired Membership::desiredByRoster(const ServerId& uid, const Listed& listed, Micros now) const {
@@ -31,7 +31,7 @@
   desired.listed = true;
   desired.entry = listed.entry;
   desired.rule = Rule::RosterDraining;
-  if (listed.entry.state != ServerState::Ready) return desired;
+  if (listed.entry.state != EndpointState::Ready) return desired;
   desired.rule = Rule::Roster;
   const auto at = spots_.find(listed.endpoint);
   if (at != spots_.end()) {
@@ -42,7 +42,7 @@
       return desired;
     }
     if (drained(spot, listed.entry.startedAt)) {
-      desired.entry.state = ServerState::Draining;
+      desired.entry.state = EndpointState::Draining;
       desired.rule = Rule::RecordsDraining;
       return desired;
     }
@@ -108,7 +108,7 @@
   desired.entry.cell = view->last.cell;
   // Nothing is sent to a server that drains, and one that nobody was told of is not brought up for it.
   if (spot.drainedAt != 0) {
-    desired.entry.state = ServerState::Draining;
+    desired.entry.state = EndpointState::Draining;
     desired.rule = Rule::RecordsDraining;
     desired.listed = told;
     return desired;
--- a/src/membership/explain.cpp
+++ b/src/membership/explain.cpp
@@ -19,7 +19,7 @@
   e.until = desired.until;
   const auto listed = roster_.find(id);
   if (listed != roster_.end())
-    e.roster = listed->second.entry.state == ServerState::Ready ? "ready" : "draining";
+    e.roster = listed->second.entry.state == EndpointState::Ready ? "ready" : "draining";
   const auto spot = spots_.find(endpoint);
   if (spot == spots_.end()) return e;
   if (e.roster.empty() && spot->second.goneAt != 0 && !spot->second.goneByRecords) e.roster = "gone";
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -11,12 +11,12 @@
   for (std::size_t k = 0; k < authority.size(); ++k) sources_[k].authority = authority[k];
   for (const RosterEntry& k : known) {
     if (!k.endpoint.empty()) knownStart_[k.endpoint] = k.entry.startedAt;
-    if (!withRoster_ || k.entry.state == ServerState::Gone) continue;
+    if (!withRoster_ || k.entry.state == EndpointState::Removed) continue;
     Listed& listed = roster_[k.entry.server];
     listed.entry = k.entry;
     moveSpot(k.entry.server, listed, k.endpoint);
     published_[k.entry.server] = {k.entry, Rule::Roster};
-    ready_ += k.entry.state == ServerState::Ready;
+    ready_ += k.entry.state == EndpointState::Ready;
   }
 }
 
@@ -53,11 +53,11 @@
       rosterSpoke_ || std::any_of(sources_.begin(), sources_.end(), [](const Source& s) { return s.spoken; });
   if (news.decisions.empty() && !heard_ && !(whole_ && spoken)) return std::nullopt;
   if (whole_) {
-    news.list.mode = ListMode::Full;
-    news.list.entries.clear();
-    for (const auto& [id, told] : published_) news.list.entries.push_back(told.entry);
+    news.list.kind = EndpointListKind::Full;
+    news.list.endpoints.clear();
+    for (const auto& [id, told] : published_) news.list.endpoints.push_back(told.entry);
   } else {
-    news.list.mode = ListMode::Delta;
+    news.list.kind = EndpointListKind::Delta;
   }
   news.list.version = ++version_;
   whole_ = heard_ = false;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -16,13 +16,13 @@
 
 #include "membership/rule.h"
 #include "membership/settings.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::membership {
 
 // One server as the roster lists it.
 struct RosterEntry {
-  ServerEntry entry;
+  Endpoint entry;
   std::string endpoint;  // "10.1.0.18:3000"; "": not told
 };
 
@@ -34,8 +34,8 @@
   double weight = 0;     // weight of RFC 2782
   Micros until = 0;      // end of lifetime
   int zone = 0, kind = 0, cell = 0;
-  ServerState state = ServerState::Ready;  // or Draining; of a source with authority only
-  Micros startedAt = 0;                    // 0: not said; another source's counts when it is first seen only
+  EndpointState state = EndpointState::Ready;  // or Draining; of a source with authority only
+  Micros startedAt = 0;  // 0: not said; another source's counts when it is first seen only
 };
 
 // What one source of records said at one moment.
@@ -53,13 +53,13 @@
 // A server that changed, and the rule that decided it.
 struct Decision {
   ServerId server;
-  ServerState state = ServerState::Ready;
+  EndpointState state = EndpointState::Ready;
   Rule rule = Rule::Roster;
 };
 
 // A change of the list for the module, and why.
 struct News {
-  ListNews list;
+  EndpointListUpdate list;
   std::vector<Decision> decisions;  // of what changed
 };
 
@@ -73,7 +73,7 @@
              const std::vector<RosterEntry>& known, Micros now);
 
   // ---- Observations ----
-  void roster(ListMode mode, const std::vector<RosterEntry>& entries, Micros now);
+  void roster(EndpointListKind mode, const std::vector<RosterEntry>& entries, Micros now);
   void observe(const Observation& observation, Micros now);
   void wanted() { whole_ = true; }  // the list was asked for: the next news have all of it
 
@@ -86,7 +86,7 @@
     std::string endpoint;
     ServerId server;  // as it is told
     bool listed = false;
-    ServerState state = ServerState::Gone;
+    EndpointState state = EndpointState::Removed;
     Rule rule = Rule::Roster;
     Micros until = 0;  // 0: until something is heard
     Micros startedAt = 0;
@@ -129,7 +129,7 @@
     Micros wakeAt = 0;            // in due_
   };
   struct Listed {  // by the roster
-    ServerEntry entry;
+    Endpoint entry;
     std::string endpoint;
   };
   struct Tier {
@@ -147,12 +147,12 @@
   };
   struct Desired {
     bool listed = false;
-    ServerEntry entry;
+    Endpoint entry;
     Rule rule = Rule::Records;
     Micros until = 0;  // 0: until something is heard
   };
   struct Published {
-    ServerEntry entry;
+    Endpoint entry;
     Rule rule = Rule::Roster;
   };
 
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -73,7 +73,7 @@
   }
   // A drain ends with a new start only: said, or seen as a going and a coming.
   const bool again = s.startedAt > spot.drainedAt || view.absentAt > spot.drainedAt;
-  if (spot.drainedAt != 0 && s.state == ServerState::Ready && again) {
+  if (spot.drainedAt != 0 && s.state == EndpointState::Ready && again) {
     spot.drainedAt = 0;
     markDirty(s.endpoint);
   }
@@ -92,8 +92,8 @@
   View& view = spot.views[source];
   const bool authority = sources_[source].authority;
   // Said anew, it is a drain of the server as it is now; said on and on, it is the one of then.
-  const bool anewDrained = !view.present || view.goneAsOf != 0 || view.last.state != ServerState::Draining;
-  if (authority && s.state == ServerState::Draining && (spot.drainedAt == 0 || anewDrained)) {
+  const bool anewDrained = !view.present || view.goneAsOf != 0 || view.last.state != EndpointState::Draining;
+  if (authority && s.state == EndpointState::Draining && (spot.drainedAt == 0 || anewDrained)) {
     spot.drainedAt = asOf;
     markDirty(s.endpoint);
   }
@@ -145,7 +145,7 @@
                                     [&](const View& v) { return &v != &view && v.present; });
     const auto isReady = [&](const ServerId& id) {
       const auto told = published_.find(id);
-      return told != published_.end() && told->second.entry.state == ServerState::Ready;
+      return told != published_.end() && told->second.entry.state == EndpointState::Ready;
     };
     const bool authority = sources_[o.source].authority;
     const bool takes = ((alone || authority) && isReady(endpoint)) ||
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -59,7 +59,7 @@
   Listed& listed = roster_[e.entry.server];
   listed.entry = e.entry;
   moveSpot(e.entry.server, listed, e.endpoint);
-  if (!e.endpoint.empty() && e.entry.state == ServerState::Ready) {
+  if (!e.endpoint.empty() && e.entry.state == EndpointState::Ready) {
     Spot& spot = spots_[e.endpoint];
     // Its own word the roster may take back; another authority's only with a new start.
     if (!spot.goneByRecords || e.entry.startedAt > spot.goneAt) spot.goneAt = 0;
@@ -68,15 +68,15 @@
   if (!e.endpoint.empty()) markDirty(e.endpoint);
 }
 
-void Membership::roster(ListMode mode, const std::vector<RosterEntry>& entries, Micros now) {
-  if (!withRoster_ || mode == ListMode::Failed || mode == ListMode::Cached) return;
+void Membership::roster(EndpointListKind mode, const std::vector<RosterEntry>& entries, Micros now) {
+  if (!withRoster_ || mode == EndpointListKind::Failed || mode == EndpointListKind::Cached) return;
   heard_ = true;
-  if (mode == ListMode::Full) {
+  if (mode == EndpointListKind::Full) {
     whole_ = true;
     unlistMissing(entries, now);
   }
   for (const RosterEntry& e : entries) {
-    if (e.entry.state == ServerState::Gone) {
+    if (e.entry.state == EndpointState::Removed) {
       unlist(e.entry.server, now);
       continue;
     }
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::membership {
 
--- a/src/membership/tiers.cpp
+++ b/src/membership/tiers.cpp
@@ -20,7 +20,7 @@
   if (!spot.uids.empty())
     return std::any_of(spot.uids.begin(), spot.uids.end(), [&](const ServerId& uid) {
       const auto at = roster_.find(uid);
-      return at != roster_.end() && at->second.entry.state == ServerState::Ready;
+      return at != roster_.end() && at->second.entry.state == EndpointState::Ready;
     });
   return spot.goneAt == 0 || spot.takenBack || startedAgain(spot) != 0;
 }
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -16,7 +16,7 @@
 #include <string>
 
 #include "log/reason.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::net {
 
--- a/src/operator/schema.h
+++ b/src/operator/schema.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "kdl/kdl.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::op {
 
--- a/src/relay/calls.cpp
+++ b/src/relay/calls.cpp
@@ -15,7 +15,7 @@
   ended_ = false;
   messages_ = 0;
   for (Order& order : reply) {
-    if (order.mark) mark_ = order.mark->mark;
+    if (order.mark) mark_ = order.mark->updateId;
     if (std::find(refused_.begin(), refused_.end(), order.text) != refused_.end()) continue;
     if (waiting_.size() >= most_) {
       ++counts_.lost;
@@ -122,7 +122,7 @@
 void Calls::applied(int mark) {
   if (state_ != State::Missed) return;
   for (const Order& order : doubted_) {
-    if (order.mark && order.mark->mark == mark) return carriedOut();
+    if (order.mark && order.mark->updateId == mark) return carriedOut();
   }
 }
 
--- a/src/relay/newsbook.cpp
+++ b/src/relay/newsbook.cpp
@@ -75,47 +75,47 @@
   const TableId slice = std::exchange(repeated_, -1);
   if (expected(slice, told_)) return;
   slices_[slice] = told_;
-  events.push_back(SliceCharge{slice, false});
-  events.push_back(SliceCharge{slice, true});
-  for (const auto& [server, weight] : told_) events.push_back(StoredLine{slice, server, weight});
+  events.push_back(SliceAssignment{slice, false});
+  events.push_back(SliceAssignment{slice, true});
+  for (const auto& [server, weight] : told_) events.push_back(StoredRoute{slice, server, weight});
 }
 
 void NewsBook::take(const News& news, std::vector<Event>& events) {
-  if (const auto* line = std::get_if<StoredLine>(&news); line != nullptr && line->slice == repeated_) {
+  if (const auto* line = std::get_if<StoredRoute>(&news); line != nullptr && line->slice == repeated_) {
     told_[line->server] = line->weight;
     return;
   }
   closeRepeat(events);
-  if (const auto* joined = std::get_if<ProxyJoined>(&news)) {
+  if (const auto* joined = std::get_if<ProxyConnected>(&news)) {
     unseenProxies_.erase(joined->proxy);
     const bool known = !proxies_.insert(joined->proxy).second;
     // One that holds nothing that was ordered has started anew, and one that joins twice has left between.
     // Announced by a new stream of news its own never broke; whether it left between nobody tells then.
-    if (known && settling_ && !joined->fresh) return;
-    if (known && !settling_) events.push_back(ProxyLeft{joined->proxy});
+    if (known && settling_ && !joined->newIncarnation) return;
+    if (known && !settling_) events.push_back(ProxyDisconnected{joined->proxy});
     events.push_back(*joined);
-  } else if (const auto* left = std::get_if<ProxyLeft>(&news)) {
+  } else if (const auto* left = std::get_if<ProxyDisconnected>(&news)) {
     unseenProxies_.erase(left->proxy);
     if (proxies_.erase(left->proxy) > 0) events.push_back(*left);
-  } else if (const auto* charge = std::get_if<SliceCharge>(&news)) {
+  } else if (const auto* charge = std::get_if<SliceAssignment>(&news)) {
     const bool known = slices_.count(charge->slice) > 0;
-    if (charge->given && known && unseenSlices_.erase(charge->slice) > 0) {
+    if (charge->assigned && known && unseenSlices_.erase(charge->slice) > 0) {
       repeated_ = charge->slice;
       told_.clear();
       return;
     }
     unseenSlices_.erase(charge->slice);
-    if (charge->given)
+    if (charge->assigned)
       slices_[charge->slice].clear();
     else if (slices_.erase(charge->slice) == 0)
       return;
     events.push_back(*charge);
-  } else if (const auto* line = std::get_if<StoredLine>(&news)) {
+  } else if (const auto* line = std::get_if<StoredRoute>(&news)) {
     const auto it = slices_.find(line->slice);
     if (it == slices_.end()) return;
     it->second[line->server] = line->weight;
     events.push_back(*line);
-  } else if (const auto* applied = std::get_if<OrderApplied>(&news)) {
+  } else if (const auto* applied = std::get_if<UpdateAcknowledged>(&news)) {
     if (proxies_.count(applied->proxy) > 0) events.push_back(*applied);
   }
 }
@@ -133,11 +133,11 @@
   settling_ = false;
   for (ProxyId proxy : unseenProxies_) {
     proxies_.erase(proxy);
-    events.push_back(ProxyLeft{proxy});
+    events.push_back(ProxyDisconnected{proxy});
   }
   for (TableId slice : unseenSlices_) {
     slices_.erase(slice);
-    events.push_back(SliceCharge{slice, false});
+    events.push_back(SliceAssignment{slice, false});
   }
   unseenProxies_.clear();
   unseenSlices_.clear();
--- a/src/relay/orders.cpp
+++ b/src/relay/orders.cpp
@@ -29,26 +29,30 @@
 struct ToOrder {
   const Names& names;
 
-  std::optional<Order> operator()(const SetLine& a) const {
+  std::optional<Order> operator()(const SetRoute& a) const {
     const std::string line = table(a.table) + "," + a.server;
     return Order{"put," + line + "," + number(a.weight), "put," + line, a, {}, {}};
   }
   std::optional<Order> operator()(const ClearTable& a) const {
     return Order{"wipe," + table(a.table), "wipe," + table(a.table), {}, a.table, {}};
   }
-  std::optional<Order> operator()(const Withdraw& a) const {
-    return Order{(a.out ? "eject," : "uneject,") + a.server, "eject," + a.server, {}, {}, {}};
+  std::optional<Order> operator()(const SetEjection& a) const {
+    return Order{(a.state == EjectionState::Ejected ? "eject," : "uneject,") + a.server,
+                 "eject," + a.server,
+                 {},
+                 {},
+                 {}};
   }
-  std::optional<Order> operator()(const Admit& a) const {
+  std::optional<Order> operator()(const SetAdmission& a) const {
     const std::string where = "gate," + table(a.table) + "," + classes(a.classMask, names);
-    return Order{where + "," + number(a.level) + "," + std::to_string(static_cast<int>(a.secondTry)),
+    return Order{where + "," + number(a.ratio) + "," + std::to_string(static_cast<int>(a.retryPolicy)),
                  where,
                  {},
                  {},
                  {}};
   }
-  std::optional<Order> operator()(const Mark& a) const {
-    return Order{"fence," + std::to_string(a.mark) + (a.reachAll ? ",1" : ",0"), "fence", {}, {}, a};
+  std::optional<Order> operator()(const AcknowledgementRequest& a) const {
+    return Order{"fence," + std::to_string(a.updateId) + (a.everyProxy ? ",1" : ",0"), "fence", {}, {}, a};
   }
   template <class Other>
   std::optional<Order> operator()(const Other&) const {
@@ -110,16 +114,16 @@
   if (kind == "attach") {
     const int zone = discovery::placeOf(names.zones, w.text(3, "az"));
     if (zone < 0) wire::bad("news", "'az' is no zone of the settings");
-    return ProxyJoined{proxy(), zone, w.number(4, "share"), w.flag(5, "standing")};
+    return ProxyConnected{proxy(), zone, w.number(4, "share"), w.flag(5, "standing")};
   }
-  if (kind == "detach") return ProxyLeft{proxy()};
+  if (kind == "detach") return ProxyDisconnected{proxy()};
   if (kind == "done") {
     const double lag = std::min(w.number(4, "lag_ms"), 1e9);
-    return OrderApplied{proxy(), w.integer(3, "version", 65535),
-                        static_cast<Micros>(std::llround(lag * 1000))};
+    return UpdateAcknowledged{proxy(), w.integer(3, "version", 65535),
+                              static_cast<Micros>(std::llround(lag * 1000))};
   }
-  if (kind == "owner") return SliceCharge{slice(), w.flag(3, "yes")};
-  if (kind == "entry") return StoredLine{slice(), w.text(3, "host"), w.number(4, "weight")};
+  if (kind == "owner") return SliceAssignment{slice(), w.flag(3, "yes")};
+  if (kind == "entry") return StoredRoute{slice(), w.text(3, "host"), w.number(4, "weight")};
   wire::bad("news", "unknown type '" + kind.substr(0, 40) + "'");
 }
 
--- a/src/relay/orders.h
+++ b/src/relay/orders.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "discovery/catalog.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::relay {
 
@@ -17,9 +17,9 @@
 struct Order {
   std::string text;
   std::string key;
-  std::optional<SetLine> line;
+  std::optional<SetRoute> line;
   std::optional<TableId> cleared;
-  std::optional<Mark> mark;
+  std::optional<AcknowledgementRequest> mark;
 };
 
 // Nothing for an action that is no order.
@@ -27,7 +27,8 @@
 
 // A line of news after its "* "; a bare "*" is a sign of life.
 struct SignOfLife {};
-using News = std::variant<SignOfLife, ProxyJoined, ProxyLeft, OrderApplied, SliceCharge, StoredLine>;
+using News = std::variant<SignOfLife, ProxyConnected, ProxyDisconnected, UpdateAcknowledged, SliceAssignment,
+                          StoredRoute>;
 
 // Throws wire::Malformed.
 News parseNews(const std::string& line, const Names& names, int slices);
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -98,8 +98,8 @@
     if (log_.shows(log::Level::Debug)) log_.debug("relay") << line;
     // Guards against a spoilt answer that would settle a call in doubt: only a proxy that is there has
     // applied it.
-    const auto* applied = std::get_if<OrderApplied>(&news);
-    if (applied != nullptr && book_.holds(applied->proxy)) calls_.applied(applied->mark);
+    const auto* applied = std::get_if<UpdateAcknowledged>(&news);
+    if (applied != nullptr && book_.holds(applied->proxy)) calls_.applied(applied->updateId);
     const std::size_t before = held_.size();
     book_.take(news, held_);
     const bool life = std::holds_alternative<SignOfLife>(news);
@@ -113,7 +113,8 @@
     if (held_.size() == before) return true;
     // Guards against a decision on a slice whose lines are still on their way: it would look like one that
     // has no table. All that comes in one go is handed on together, in the order it came.
-    const bool part = std::holds_alternative<SliceCharge>(news) || std::holds_alternative<StoredLine>(news);
+    const bool part =
+        std::holds_alternative<SliceAssignment>(news) || std::holds_alternative<StoredRoute>(news);
     const Micros now = net::steadyNow();
     if (before == 0) heldSince_ = now;
     if (part)
@@ -167,7 +168,8 @@
 void Relay::tell() {
   if (!calls_.ended()) return;
   const Calls::Fate fate = calls_.tell();
-  exchange_.post(OrdersTold{fate.mark, fate.taken, fate.messages});
+  exchange_.post(UpdateDelivery{
+      fate.mark, fate.taken ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete, fate.messages});
 }
 
 // Sends the next call if there is one and nothing is in its way; dials first where needed.
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,7 +1,7 @@
 // The decision module of peargrade: every decision, table and tuned value is in this file.
-// Its interface is include/peargrade/director.h; src/state.h holds the records it keeps.
+// Its interface is include/peargrade/decision_engine.h; src/state.h holds the records it keeps.
 // Parts, in order: estimates, placement and evacuation, the hot rule, admission and retries, pacing, events.
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 #include "state.h"
 
 namespace peargrade {
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-struct Director::State {
+struct DecisionEngine::State {
   Settings cfg;
   Rng rng;
   Micros now = 0;
@@ -77,7 +77,8 @@
     cfg = e.settings;
     // Work isn't told; the aim of a class stands for it: operators grant heavier requests more time.
     works.clear();
-    for (const RequestClass& c : cfg.classes) works.push_back(static_cast<double>(c.aim) / kSecond);
+    for (const RequestClass& c : cfg.classes)
+      works.push_back(static_cast<double>(c.latencyObjective) / kSecond);
     byWorth = leastWorthFirst(cfg.classes, works);
   }
 
@@ -90,7 +91,7 @@
     demand.assign(cfg.classes.size(), 0);
     for (auto& [t, s] : slices) {
       const Micros from = s.givenAt > heardFrom ? s.givenAt + kReportsLag : heardFrom;
-      s.reckon(now, std::max(cfg.reportEvery, now - from), kDemandMemory, works);
+      s.reckon(now, std::max(cfg.reportInterval, now - from), kDemandMemory, works);
       for (std::size_t c = 0; c < demand.size(); ++c) demand[c] += s.rates[c] * works[c];
       if (now - s.givenAt < kReportsLag + kDemandMemory / 2) continue;
       sum += s.heat;
@@ -102,9 +103,9 @@
     }
   }
 
-  double listedWeight(const Server& s) const { return s.listedWeight(cfg.listedWeights); }
+  double listedWeight(const Server& s) const { return s.listedWeight(cfg.endpointsHaveWeights); }
   double weight(const Server& s) const { return s.strength * listedWeight(s); }
-  bool isCold(const Server& s) const { return s.startedWithin(now, cfg.warmAfter); }
+  bool isCold(const Server& s) const { return s.startedWithin(now, cfg.slowStartWindow); }
 
   // What it counts for: what is stated is the least, one heard at ease bears half of what pushes it over.
   double ramp(const Server& s) const {
@@ -131,9 +132,9 @@
   double heatOn(const Server& s) const { return s.heat + s.part * cohorts[s.cohort]; }
 
   // What changed by then is filled no more and is one cohort: else slices would go to and fro all day.
-  Micros settledBy() const { return std::max<Micros>(0, now - cfg.warmAfter - kLeftSpan); }
+  Micros settledBy() const { return std::max<Micros>(0, now - cfg.slowStartWindow - kLeftSpan); }
 
-  Micros settle() const { return cfg.orderDelay + cfg.reportEvery + kReportsLag; }  // until reports show it
+  Micros settle() const { return cfg.pushDelay + cfg.reportInterval + kReportsLag; }  // until reports show it
 
   // Guards against taking a bad way between zones (slow, lossy or cut) for bad servers: what one zone's
   // proxies meet at all servers of a zone beyond what the best placed proxies meet there is the way's.
@@ -225,14 +226,14 @@
         s.changedAt = now;
         log("try " + id + " again");
       }
-      if (cfg.probesAllowed && !s.proved && s.ready() && now >= s.probeAt) {
-        out.push_back(Probe{id});
+      if (cfg.healthChecksAllowed && !s.proved && s.ready() && now >= s.probeAt) {
+        out.push_back(HealthCheck{id});
         s.probeAt = now + std::max(kProbeFirst, now - s.seenAt);
       }
       const Tally own = s.tally;
       s.leftAt = s.ready() ? 0 : s.leftAt > 0 ? s.leftAt : now;
       // A list may be wrong: what it drops stays, as far as nothing binds, until its answers stop as well.
-      s.believed = cfg.goneIsAdvice && own.tries > 0 && own.badShare() < 1 - kStillAnswers && !s.failing;
+      s.believed = cfg.removalIsAdvisory && own.tries > 0 && own.badShare() < 1 - kStillAnswers && !s.failing;
       if (!s.ready() || s.failing || own.tries < kFewTries || own.badShare() < kBadShare) continue;
       const Tally others{fleet.tries - own.tries, fleet.failed - own.failed};
       if (own.badShare() < kWorseThanFleet * others.badShare()) continue;
@@ -287,7 +288,7 @@
   const char* whyLeave(const Slice& s) const {
     const auto it = servers.find(s.home);
     if (s.home.empty()) return "unhomed";
-    if (it != servers.end() && it->second.entry.state == ServerState::Draining) return "draining";
+    if (it != servers.end() && it->second.entry.state == EndpointState::Draining) return "draining";
     if (it == servers.end() || !it->second.ready()) return listFresh ? "gone" : nullptr;
     if (it->second.failing || it->second.withdrawn) return it->second.failing ? "failing" : "withdrawn";
     return isCold(it->second) && s.movedAt < it->second.entry.startedAt ? "restarted" : nullptr;
@@ -317,7 +318,7 @@
   // or tried: with few slices where more are new than have left.
   bool mayTry(const Server& s) const {
     const double most = newcomers > left ? kTrialShare * static_cast<double>(slices.size()) : 1e9;
-    return !cfg.probesAllowed && !s.proved && s.ready() && !s.failing && onTrial < most;
+    return !cfg.healthChecksAllowed && !s.proved && s.ready() && !s.failing && onTrial < most;
   }
   bool takes(const Server& s) const { return (s.usable() || mayTry(s)) && !s.startedWithin(now, kTargetAge); }
   // Departure: the design leaves a returned server idle until another is hot. One that changed and stands
@@ -357,7 +358,7 @@
   // Departure: each slice keeps a standby line of very small weight, so that a proxy has where to go when the
   // home is down, refuses or is out of reach: in another zone, the standbys of one home spread over many.
   void standBy() {
-    if (cfg.oneOwner) return;
+    if (cfg.hasSingleOwnerSlices()) return;
     std::vector<std::pair<const ServerId*, int>> open;  // who may back, and its zone
     std::map<ServerId, std::size_t> place;
     for (const auto& [id, v] : servers) {
@@ -428,7 +429,7 @@
   void judgeHot() {
     const double typical = typicalPressure();
     for (auto& [id, s] : servers) {
-      if (s.reportedAt <= s.hotJudgedAt || now - s.hotJudgedAt < cfg.reportEvery) continue;
+      if (s.reportedAt <= s.hotJudgedAt || now - s.hotJudgedAt < cfg.reportInterval) continue;
       s.hotJudgedAt = now;
       const double low = s.latencies.least();
       const bool slow = (low > 0 && s.latency > kHotLatency * low) ||
@@ -577,8 +578,8 @@
         if (demand[c] > 0) mean[c] += level * s.rates[c] * works[c] / demand[c];
       }
     }
-    const double held = cfg.linesWaitingMax * kQueueShare[Level] / receivers() - head();
-    const bool oneForAll = exceptions > held && cfg.levelUnit == LevelUnit::Share;
+    const double held = cfg.pendingRoutesMax * kQueueShare[Level] / receivers() - head();
+    const bool oneForAll = exceptions > held && cfg.admissionUnit == AdmissionUnit::Ratio;
     for (std::size_t c = 0; c < demand.size(); ++c) {
       const double level = oneForAll ? std::round(mean[c] / kLevelGrain) * kLevelGrain : 1;
       if (level >= 1 || std::abs(level - fleetLevels[c]) >= kLevelStep) fleetLevels[c] = level;
@@ -594,9 +595,10 @@
 
   // A further try never goes beyond what cannot take effect twice. After any failure it also repeats what
   // timed out: under strain, or where the time-out lies beyond the aim, that only adds to the load.
-  SecondTry secondTry(const RequestClass& c) const {
-    const bool any = c.effect == Effect::Repeatable && cfg.tryAims < 1 && !strained;
-    return any ? SecondTry::AfterAnyFailure : SecondTry::AfterProof;
+  RetryPolicy secondTry(const RequestClass& c) const {
+    const bool any =
+        c.idempotency == Idempotency::Idempotent && cfg.attemptTimeoutObjectives < 1 && !strained;
+    return any ? RetryPolicy::AnyFailure : RetryPolicy::IfNotExecuted;
   }
 
   // ---- Pacing ----
@@ -608,20 +610,20 @@
     return std::max({1.0, channel.proxies(), cfg.slices > 0 ? static_cast<double>(cfg.proxies) : 0.0});
   }
   // Guards against a channel slower than stated: what proxies have not confirmed counts as waiting.
-  double linesQueued() const { return channel.waiting(now, cfg.linesPerSecond / kSlowChannel); }
+  double linesQueued() const { return channel.waiting(now, cfg.routesPerSecond / kSlowChannel); }
 
   // What a message to each proxy may hold now; levels for all and the mark ride along.
-  double head() const { return cfg.linesPerMessage + static_cast<double>(cfg.classes.size()) + 1; }
+  double head() const { return cfg.messageOverheadRoutes + static_cast<double>(cfg.classes.size()) + 1; }
   double room(Urgency urgency) const {
-    const double lines = cfg.linesWaitingMax * kQueueShare[urgency] - linesQueued();
+    const double lines = cfg.pendingRoutesMax * kQueueShare[urgency] - linesQueued();
     return lines / receivers() - head();
   }
 
   // What must go waits for room for all or a good part of a message, after a missed one for any: that tells.
   bool mayWrite(Urgency first, double wanted) {
     const double most = kMessageShare[first] * cfg.messagesPerProxyMax;
-    if (channel.messagesWithin(now, cfg.messagesSpan) >= most && cfg.messagesPerProxyMax > 0) return false;
-    const double whole = cfg.linesWaitingMax * kQueueShare[first] / receivers();
+    if (channel.messagesWithin(now, cfg.messageWindow) >= most && cfg.messagesPerProxyMax > 0) return false;
+    const double whole = cfg.pendingRoutesMax * kQueueShare[first] / receivers();
     if (linesQueued() > 0 && room(first) < std::min(wanted, missed ? 1 : kGatherShare * whole)) return false;
     return first <= Evacuation || now - routineAt >= kRoutineEvery;
   }
@@ -629,10 +631,10 @@
   // The changed lines of a slice that may have one owner only: the old owner's line goes first, and the new
   // owner's waits until every proxy has confirmed (or has lost its lease) and the writes in hand are done.
   std::vector<Action> handOver(TableId t, Slice& s) {
-    if (!cfg.oneOwner || s.sent == s.want) return {};
+    if (!cfg.hasSingleOwnerSlices() || s.sent == s.want) return {};
     if (s.sent.empty() || (!s.want.empty() && s.sent.begin()->first == s.want.begin()->first))
       return now >= s.freeAt && s.unsettled.empty() ? s.changedLines(t) : std::vector<Action>{};
-    return {SetLine{t, s.sent.begin()->first, 0}};
+    return {SetRoute{t, s.sent.begin()->first, 0}};
   }
 
   bool leaving(const Server& s) const { return s.failing || (listFresh && !s.ready()); }
@@ -642,16 +644,18 @@
   // the grace runs out; its lines are tidied away later and before it is let in again.
   std::vector<Action> withdrawals() const {
     const Uses uses = usesOf(slices, [&](const ServerId& id) { return open(id); });
-    const Micros way = cfg.orderDelayMax + static_cast<Micros>(linesQueued() / cfg.linesPerSecond * kSecond);
+    const Micros way = cfg.pushDelayMax + static_cast<Micros>(linesQueued() / cfg.routesPerSecond * kSecond);
     std::vector<Action> orders;
     for (const auto& [id, s] : servers) {
       const bool held = cfg.slices > 0 ? uses.held.count(id) > 0 : allWeight > 0;
-      const bool leave = held && leaving(s) && !cfg.oneOwner;
+      const bool leave = held && leaving(s) && !cfg.hasSingleOwnerSlices();
       const bool due = !s.ready() && now + way + kGraceMargin > s.leftAt + cfg.drainGrace;
       const bool stay = cfg.slices > 0 ? uses.stale.count(id) > 0 : s.startedWithin(now, kSettledStart);
       const bool wanted = s.withdrawn ? leave || stay : leave && (due || uses.needed.count(id) == 0);
       const bool changes = wanted != s.withdrawn;
-      if (changes || s.repeat) orders.insert(changes ? orders.begin() : orders.end(), Withdraw{id, wanted});
+      if (changes || s.repeat)
+        orders.insert(changes ? orders.begin() : orders.end(),
+                      SetEjection{id, wanted ? EjectionState::Ejected : EjectionState::Readmitted});
     }
     return orders;
   }
@@ -666,7 +670,7 @@
       left = left || (s.want.count(id) == 0 && leaving(servers.at(id)));
     }
     for (const Action& a : s.changedLines(t)) {
-      const auto& line = std::get<SetLine>(a);
+      const auto& line = std::get<SetRoute>(a);
       const Server& v = servers.at(line.server);
       if (line.weight == 0 && leaving(v) && !v.withdrawn) continue;
       const bool first = line.weight > 0 ? line.server == s.home : open(line.server);
@@ -686,14 +690,14 @@
     if (channel.proxies() == 0 || awaiting) return;
     std::vector<Piece> pieces;
     for (auto& [t, s] : slices) {
-      if (!cfg.oneOwner && s.sent != s.want) addLines(t, s, pieces);
+      if (!cfg.hasSingleOwnerSlices() && s.sent != s.want) addLines(t, s, pieces);
       if (std::vector<Action> lines = handOver(t, s); !lines.empty())
         pieces.push_back({Must, -s.heat, t, std::move(lines)});
       std::vector<Action> levels;
       bool lower = false;
-      for (std::size_t c = 0; c < s.levels.size() && cfg.levelUnit == LevelUnit::Share; ++c) {
+      for (std::size_t c = 0; c < s.levels.size() && cfg.admissionUnit == AdmissionUnit::Ratio; ++c) {
         if (s.levelStands(c)) continue;
-        levels.push_back(Admit{t, 1u << c, s.levels[c], secondTry(cfg.classes[c])});
+        levels.push_back(SetAdmission{t, 1u << c, s.levels[c], secondTry(cfg.classes[c])});
         lower = lower || (s.levels[c] < 1 && s.levels[c] <= s.sentLevels[c]);  // the same: it is in doubt
       }
       const Urgency urgency = lower && isCold(servers[s.home]) ? Evacuation : Level;
@@ -702,7 +706,8 @@
     if (!rulesSent || strained != strainedSent || fleetLevels != fleetSent) {
       pieces.push_back({missed ? Evacuation : Level, -allHeat, kAllTables, {}});
       for (std::size_t c = 0; c < cfg.classes.size(); ++c)
-        pieces.back().orders.push_back(Admit{kAllTables, 1u << c, fleetLevels[c], secondTry(cfg.classes[c])});
+        pieces.back().orders.push_back(
+            SetAdmission{kAllTables, 1u << c, fleetLevels[c], secondTry(cfg.classes[c])});
     }
     const double pulls = static_cast<double>(withdrawals().size());
     if (pieces.empty() && pulls == 0) return;
@@ -730,26 +735,27 @@
     dropReplaced(orders);
     const double lines = head() + static_cast<double>(orders.size());
     orders.push_back(
-        Mark{channel.send(now, lines, receivers(), cfg.linesPerSecond / kSlowChannel), cfg.oneOwner});
+        AcknowledgementRequest{channel.send(now, lines, receivers(), cfg.routesPerSecond / kSlowChannel),
+                               cfg.hasSingleOwnerSlices()});
     routineAt = now;
     missed = false;
     out.insert(out.end(), orders.begin(), orders.end());
-    if (!cfg.ordersTold) return;
+    if (!cfg.deliveryReported) return;
     awaiting = true;
     channel.await();
     inHand = std::move(orders);
   }
 
   void note(const Action& order) {
-    if (const auto* pull = std::get_if<Withdraw>(&order)) servers[pull->server].apply(*pull);
-    if (const auto* line = std::get_if<SetLine>(&order)) {
+    if (const auto* pull = std::get_if<SetEjection>(&order)) servers[pull->server].apply(*pull);
+    if (const auto* line = std::get_if<SetRoute>(&order)) {
       Slice& s = slices[line->table];
       s.apply(*line);
-      if (!cfg.oneOwner || line->weight > 0) return;
+      if (!cfg.hasSingleOwnerSlices() || line->weight > 0) return;
       s.unsettled = channel.all();
       s.clearedBy = channel.nextMark();
     }
-    const auto* admit = std::get_if<Admit>(&order);
+    const auto* admit = std::get_if<SetAdmission>(&order);
     if (admit == nullptr) return;
     if (admit->table != kAllTables) return slices[admit->table].apply(*admit);
     rulesSent = true;
@@ -760,40 +766,40 @@
   // ---- Events ----
 
   // A server that starts is empty of keys and cold, whatever its slices say: its former life is forgotten.
-  void on(const ListNews& news) {
-    if (news.mode == ListMode::Failed) {
+  void on(const EndpointListUpdate& news) {
+    if (news.kind == EndpointListKind::Failed) {
       subscribed = false;
-      askBackoff = std::min(2 * askBackoff, std::max(kAskFirst, cfg.askWithin / 4));
+      askBackoff = std::min(2 * askBackoff, std::max(kAskFirst, cfg.pollDeadline / 4));
       // Guards against what is harmless in one and harmful in all: callers that were refused together would
       // come again together.
       askAgainAt = now + static_cast<Micros>(static_cast<double>(askBackoff) * (0.5 + 0.5 * rng.uniform()));
       return;
     }
-    if (news.mode == ListMode::Full) {
+    if (news.kind == EndpointListKind::Full) {
       for (auto& [id, s] : servers) s.listed = false;
     }
-    for (const ServerEntry& e : news.entries) {
+    for (const Endpoint& e : news.endpoints) {
       Server& s = servers[e.server];
-      const bool old = news.mode == ListMode::Cached;
-      if (!old && e.startedAt > s.entry.startedAt && e.state == ServerState::Ready) s.restart(now);
-      s.take(e, now, cfg.goneIsAdvice);
+      const bool old = news.kind == EndpointListKind::Cached;
+      if (!old && e.startedAt > s.entry.startedAt && e.state == EndpointState::Ready) s.restart(now);
+      s.take(e, now, cfg.removalIsAdvisory);
       s.proved = s.proved || old;
       if (old && s.startedWithin(now, kLeftSpan)) s.changedAt = e.startedAt;  // no table may name it yet
-      if (e.state == ServerState::Draining) rollingUntil = now + kRollingSpan;
+      if (e.state == EndpointState::Draining) rollingUntil = now + kRollingSpan;
     }
-    if (news.mode == ListMode::Cached) return;
+    if (news.kind == EndpointListKind::Cached) return;
     listFresh = true;
     askBackoff = kAskFirst;
   }
 
-  void on(const ProxyJoined& e) {
+  void on(const ProxyConnected& e) {
     channel.join(e.proxy, now - kNewsLag);
     rulesSent = false;  // standing orders ride on later messages only
     joined = true;
     expectNothing(e.proxy);
   }
 
-  void on(const ProxyLeft& e) {
+  void on(const ProxyDisconnected& e) {
     channel.leave(e.proxy, now - kNewsLag);
     expectNothing(e.proxy);
   }
@@ -801,17 +807,17 @@
   // A proxy whose stream is a new one or gone confirms nothing that went before.
   void expectNothing(ProxyId proxy) {
     for (auto& [t, s] : slices) {
-      if (!cfg.oneOwner) break;
-      if (s.unsettled.erase(proxy) > 0) s.freeAt = std::max(s.freeAt, now + cfg.lease + cfg.writeSettle);
+      if (!cfg.hasSingleOwnerSlices()) break;
+      if (s.unsettled.erase(proxy) > 0) s.freeAt = std::max(s.freeAt, now + cfg.lease + cfg.inFlightWriteMax);
     }
   }
 
-  void on(const OrdersTold& e) {
-    if (!awaiting || e.mark != channel.mark()) return;
+  void on(const UpdateDelivery& e) {
+    if (!awaiting || e.updateId != channel.mark()) return;
     awaiting = false;
-    again = held || !e.taken;
+    again = held || e.outcome != DeliveryOutcome::Accepted;
     channel.told(now, e.messages, head(), receivers());
-    missed = !e.taken;
+    missed = e.outcome != DeliveryOutcome::Accepted;
     for (const Action& order : inHand) doubt(order);
     inHand.clear();
   }
@@ -820,22 +826,22 @@
   // room: as a whole it might find none for long. A slice given since has the table that the store tells.
   void doubt(const Action& order) {
     if (!missed) return;
-    if (const auto* pull = std::get_if<Withdraw>(&order)) servers[pull->server].repeat = true;
-    rulesSent = rulesSent && (!std::holds_alternative<Admit>(order) || tableOf(order) != kAllTables);
+    if (const auto* pull = std::get_if<SetEjection>(&order)) servers[pull->server].repeat = true;
+    rulesSent = rulesSent && (!std::holds_alternative<SetAdmission>(order) || tableOf(order) != kAllTables);
     const auto it = slices.find(tableOf(order));
     if (it != slices.end() && it->second.givenAt <= routineAt) it->second.doubt(order);
   }
 
-  void on(const OrderApplied& e) {
-    if (!channel.confirm(e.proxy, e.mark)) return;
+  void on(const UpdateAcknowledged& e) {
+    if (!channel.confirm(e.proxy, e.updateId)) return;
     for (auto& [t, s] : slices) {
-      if (!cfg.oneOwner) break;
-      if (e.mark >= s.clearedBy && s.unsettled.erase(e.proxy) > 0)
-        s.freeAt = std::max(s.freeAt, now + cfg.writeSettle);
+      if (!cfg.hasSingleOwnerSlices()) break;
+      if (e.updateId >= s.clearedBy && s.unsettled.erase(e.proxy) > 0)
+        s.freeAt = std::max(s.freeAt, now + cfg.inFlightWriteMax);
     }
   }
 
-  void on(const ServerReport& r) {
+  void on(const ServerLoadReport& r) {
     const auto it = servers.find(r.server);  // what is of its former life, or too near it, does not count
     if (it == servers.end() || it->second.startedWithin(now, kReportsLag + r.window)) return;
     Server& s = it->second;
@@ -843,19 +849,20 @@
     s.proved = s.seen[r.zone].add(now, r, kHealthMemory) || s.proved;
   }
 
-  void on(const SliceDemand& d) {
+  void on(const SliceLoadReport& d) {
     const auto it = slices.find(d.slice);
-    if (it == slices.end() || d.cls < 0 || d.cls >= static_cast<int>(cfg.classes.size())) return;
+    if (it == slices.end() || d.requestClass < 0 || d.requestClass >= static_cast<int>(cfg.classes.size()))
+      return;
     if (heardFrom == 0) heardFrom = now - d.window;
-    it->second.demand[d.cls].add(now, static_cast<double>(d.requests), kDemandMemory);
+    it->second.demand[d.requestClass].add(now, static_cast<double>(d.requests), kDemandMemory);
   }
 
-  void on(const SliceCharge& e) {
+  void on(const SliceAssignment& e) {
     slices.erase(e.slice);
-    if (e.given) slices.emplace(e.slice, Slice(now, cfg.classes.size()));
+    if (e.assigned) slices.emplace(e.slice, Slice(now, cfg.classes.size()));
   }
 
-  void on(const StoredLine& e) {
+  void on(const StoredRoute& e) {
     const auto it = slices.find(e.slice);
     if (it == slices.end() || e.weight <= 0) return;
     Slice& s = it->second;
@@ -865,9 +872,9 @@
     if (e.weight > held || (e.weight == held && !servers[s.home].ready())) s.home = s.firstHome = e.server;
   }
 
-  void on(const ProbeResult& r) {
+  void on(const HealthCheckResult& r) {
     const auto it = servers.find(r.server);
-    if (it == servers.end() || it->second.proved || r.outcome != ProbeOutcome::Answered) return;
+    if (it == servers.end() || it->second.proved || r.outcome != HealthCheckOutcome::Passed) return;
     it->second.proved = true;
     it->second.changedAt = now;
   }
@@ -876,14 +883,14 @@
   void on(const Other&) {}  // nothing is decided by notes and the demand of single proxies
 
   void decide() {
-    if (cfg.listOnRequest && !subscribed && now >= askAgainAt) {
-      out.push_back(WatchList{true});
+    if (cfg.endpointsOnRequest && !subscribed && now >= askAgainAt) {
+      out.push_back(WatchEndpoints{true});
       subscribed = true;
     }
     for (auto& [id, s] : servers) s.repeat = s.repeat || (joined && s.withdrawn);
     joined = again = false;
     // Where changes are pushed an old list that nothing changed by now holds; else it is asked for anew.
-    listFresh = listFresh || (!cfg.listOnRequest && now - bornAt > kOldListHolds);
+    listFresh = listFresh || (!cfg.endpointsOnRequest && now - bornAt > kOldListHolds);
     // Guards against records that grow with the day where servers are replaced by others.
     forgetLeft(servers, usesOf(slices, [](const ServerId&) { return true; }), now - 2 * kLeftSpan);
     reckon();
@@ -899,13 +906,13 @@
   }
 };
 
-Director::Director(std::uint64_t seed, const Settings& settings)
+DecisionEngine::DecisionEngine(std::uint64_t seed, const Settings& settings)
     : state_(std::make_unique<State>(seed, settings)) {}
-Director::~Director() = default;
-Director::Director(Director&&) noexcept = default;
-Director& Director::operator=(Director&&) noexcept = default;
+DecisionEngine::~DecisionEngine() = default;
+DecisionEngine::DecisionEngine(DecisionEngine&&) noexcept = default;
+DecisionEngine& DecisionEngine::operator=(DecisionEngine&&) noexcept = default;
 
-std::vector<Action> Director::handle(Micros now, const std::vector<Event>& events) {
+std::vector<Action> DecisionEngine::handle(Micros now, const std::vector<Event>& events) {
   State& st = *state_;
   bool due = false, sweep = st.bornAt == 0;
   if (sweep) st.bornAt = now;
@@ -914,7 +921,8 @@
   for (const Event& event : events) {
     std::visit([&](const auto& e) { st.on(e); }, event);
     sweep = sweep || std::holds_alternative<TimerFired>(event);
-    due = due || std::holds_alternative<ListNews>(event) || std::holds_alternative<SliceCharge>(event);
+    due = due || std::holds_alternative<EndpointListUpdate>(event) ||
+          std::holds_alternative<SliceAssignment>(event);
   }
   if (sweep) st.out.push_back(SetTimer{kSweepEvery, "sweep"});
   if (due || sweep || st.again) st.decide();
--- a/src/sources/commands.cpp
+++ b/src/sources/commands.cpp
@@ -134,10 +134,10 @@
     out.Key("listed");
     out.Bool(e.listed);
     text(out, "state",
-         !e.listed                          ? "none"
-         : e.state == ServerState::Ready    ? "ready"
-         : e.state == ServerState::Draining ? "draining"
-                                            : "gone");
+         !e.listed                            ? "none"
+         : e.state == EndpointState::Ready    ? "ready"
+         : e.state == EndpointState::Draining ? "draining"
+                                              : "gone");
     text(out, "rule", membership::codeOf(e.rule));
     whole(out, "until_ms", e.until > now ? (e.until - now) / 1000 : 0);
     text(out, "roster", e.roster);
@@ -154,7 +154,7 @@
 void rowsAsText(const Rows& rows, const op::Operator& op, Micros now) {
   for (const auto& e : rows) {
     std::cout << e.server
-              << (e.listed ? e.state == ServerState::Ready ? " ready" : " draining" : " not listed")
+              << (e.listed ? e.state == EndpointState::Ready ? " ready" : " draining" : " not listed")
               << ", rule " << membership::codeOf(e.rule);
     if (e.until > now) std::cout << " for " << (e.until - now) / 1000 << " ms";
     std::cout << "\n  roster: " << (e.roster.empty() ? "nothing" : e.roster) << '\n';
@@ -166,8 +166,8 @@
 // Whether discovery said that it has no list.
 bool listFailed(const std::vector<Event>& events) {
   return std::any_of(events.begin(), events.end(), [](const Event& e) {
-    const auto* news = std::get_if<ListNews>(&e);
-    return news != nullptr && news->mode == ListMode::Failed;
+    const auto* news = std::get_if<EndpointListUpdate>(&e);
+    return news != nullptr && news->kind == EndpointListKind::Failed;
   });
 }
 
@@ -209,7 +209,7 @@
             log::Log& log) {
   const net::EventBase base = net::makeBase();
   exchange::Exchange exchange;
-  const ListNews known;
+  const EndpointListUpdate known;
   const std::vector<std::string> endpoints;
   op::Operator once = op;
   once.roster = op.roster && !asked.discovery.empty();
@@ -226,11 +226,11 @@
   }
   Sources sources({base.get(), &once, &names, &known, &endpoints, &exchange, &log, unixNow}, drawn());
   if (discovery) {
-    discovery->tellTo([&](const ListNews& news, const std::vector<std::string>& at) {
+    discovery->tellTo([&](const EndpointListUpdate& news, const std::vector<std::string>& at) {
       sources.roster(news, at);
       rosterDone = true;
     });
-    exchange.carry({FetchList{}});
+    exchange.carry({PollEndpoints{}});
   }
   const bool all = until(base.get(), asked.within, [&] {
     if (listFailed(exchange.take())) rosterDone = true;
--- a/src/sources/front.h
+++ b/src/sources/front.h
@@ -22,7 +22,7 @@
   event_base* base = nullptr;
   const op::Operator* op = nullptr;
   const discovery::Names* names = nullptr;
-  const ListNews* known = nullptr;  // of the configuration, with the endpoints of its entries
+  const EndpointListUpdate* known = nullptr;  // of the configuration, with the endpoints of its entries
   const std::vector<std::string>* knownEndpoints = nullptr;
   exchange::Exchange* exchange = nullptr;
   log::Log* log = nullptr;
@@ -34,7 +34,7 @@
  public:
   virtual ~Front() = default;
   // What discovery tells, in place of the exchange.
-  virtual void roster(const ListNews& news, const std::vector<std::string>& endpoints) = 0;
+  virtual void roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) = 0;
   // SIGHUP: what the operator's file names is read anew (zone files, keys).
   virtual void reload() = 0;
   // A line in the log for each server: which source says what, which rule decided, until when.
--- a/src/sources/sources.cpp
+++ b/src/sources/sources.cpp
@@ -8,8 +8,8 @@
 constexpr std::size_t kLinesMost = 20;  // in the log for one news; the rest is counted
 constexpr Micros kConfirmParts = 3;     // a second answer is asked for after this part of the time for it
 
-const char* wordOf(ServerState state) {
-  return state == ServerState::Ready ? "ready" : state == ServerState::Draining ? "draining" : "gone";
+const char* wordOf(EndpointState state) {
+  return state == EndpointState::Ready ? "ready" : state == EndpointState::Draining ? "draining" : "gone";
 }
 const char* wordOf(dns::Service::Kind kind) {
   return kind == dns::Service::Kind::Complete  ? "complete"
@@ -25,12 +25,12 @@
   return authority;
 }
 
-std::vector<membership::RosterEntry> withEndpoints(const ListNews& news,
+std::vector<membership::RosterEntry> withEndpoints(const EndpointListUpdate& news,
                                                    const std::vector<std::string>& endpoints) {
   std::vector<membership::RosterEntry> entries;
-  entries.reserve(news.entries.size());
-  for (std::size_t k = 0; k < news.entries.size(); ++k)
-    entries.push_back({news.entries[k], k < endpoints.size() ? endpoints[k] : ""});
+  entries.reserve(news.endpoints.size());
+  for (std::size_t k = 0; k < news.endpoints.size(); ++k)
+    entries.push_back({news.endpoints[k], k < endpoints.size() ? endpoints[k] : ""});
   return entries;
 }
 
@@ -131,8 +131,8 @@
   watch.again.in(watch.schedule.after(service, now, chance, soonest));
 }
 
-void Sources::roster(const ListNews& news, const std::vector<std::string>& endpoints) {
-  membership_.roster(news.mode, withEndpoints(news, endpoints), around_.clock());
+void Sources::roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) {
+  membership_.roster(news.kind, withEndpoints(news, endpoints), around_.clock());
   settle();
 }
 
--- a/src/sources/sources.h
+++ b/src/sources/sources.h
@@ -16,7 +16,7 @@
 namespace peargrade::sources {
 
 // The entries with the endpoint that stands at the same place; "" where there is none.
-std::vector<membership::RosterEntry> withEndpoints(const ListNews& news,
+std::vector<membership::RosterEntry> withEndpoints(const EndpointListUpdate& news,
                                                    const std::vector<std::string>& endpoints);
 
 // All sources of one supervisor and the membership that they lead to.
@@ -25,7 +25,7 @@
   Sources(const Surroundings& around, dns::Resolver::Random random);
   ~Sources() override;
 
-  void roster(const ListNews& news, const std::vector<std::string>& endpoints) override;
+  void roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) override;
   void explain() override;
   void reload() override;
 
--- a/src/state.h
+++ b/src/state.h
@@ -1,4 +1,4 @@
-// What a Director remembers: plain records and counters without any decision or tuned value.
+// What a DecisionEngine remembers: plain records and counters without any decision or tuned value.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade {
 
@@ -251,13 +251,14 @@
     latencySum.add(now, other.latencySum.at(now, memory), memory);
   }
   // Whether there were answers.
-  bool add(Micros now, const ServerReport& r, Micros memory) {
-    const double all = static_cast<double>(r.tries), bad = static_cast<double>(std::min(r.failed, r.tries));
+  bool add(Micros now, const ServerLoadReport& r, Micros memory) {
+    const double all = static_cast<double>(r.attempts),
+                 bad = static_cast<double>(std::min(r.failures, r.attempts));
     tries.add(now, all, memory);
     failed.add(now, bad, memory);
-    if (r.latency <= 0 || all <= bad) return false;
+    if (r.meanLatency <= 0 || all <= bad) return false;
     answers.add(now, all - bad, memory);
-    latencySum.add(now, (all - bad) * static_cast<double>(r.latency), memory);
+    latencySum.add(now, (all - bad) * static_cast<double>(r.meanLatency), memory);
     return true;
   }
 };
@@ -269,7 +270,7 @@
 using Ways = std::map<std::pair<int, int>, Way>;  // by zone of the servers, of the proxies
 
 struct Server {
-  ServerEntry entry;
+  Endpoint entry;
   bool listed = false;    // in the list as it stands
   bool believed = false;  // dropped from the list, yet taken to be there
   bool proved = false;    // has answered, or held slices when this supervisor met it
@@ -328,12 +329,12 @@
   }
   // The part of its capacity that it has by the settings: from the stated start it grows evenly.
   double warmth(Micros now, const Settings& cfg) const {
-    if (!startedWithin(now, cfg.warmAfter)) return 1;
-    const double age = std::max(0.0, static_cast<double>(now - entry.startedAt) / cfg.warmAfter);
-    return cfg.startCapacity + (1 - cfg.startCapacity) * age;
+    if (!startedWithin(now, cfg.slowStartWindow)) return 1;
+    const double age = std::max(0.0, static_cast<double>(now - entry.startedAt) / cfg.slowStartWindow);
+    return cfg.initialCapacity + (1 - cfg.initialCapacity) * age;
   }
-  void apply(const Withdraw& order) {
-    withdrawn = order.out;
+  void apply(const SetEjection& order) {
+    withdrawn = order.state == EjectionState::Ejected;
     repeat = false;
   }
   // A new life: nothing of the former one holds but what was ordered.
@@ -347,18 +348,18 @@
     std::swap(*this, fresh);
   }
   // What the list says. Where gone is advice, what is only dropped keeps the state that it was last seen in.
-  void take(const ServerEntry& e, Micros now, bool goneIsAdvice) {
+  void take(const Endpoint& e, Micros now, bool goneIsAdvice) {
     const Micros started = std::max(entry.startedAt, e.startedAt);
-    const ServerState before = entry.state;
+    const EndpointState before = entry.state;
     entry = e;
     entry.startedAt = started;
-    listed = e.state != ServerState::Gone;
+    listed = e.state != EndpointState::Removed;
     if (!listed && goneIsAdvice) entry.state = before;
     if (seenAt == 0) seenAt = now;
   }
   // Whether proxies may be unable to send to it for an order of ours.
   bool shut() const { return withdrawn || repeat; }
-  bool ready() const { return (listed || believed) && entry.state == ServerState::Ready; }
+  bool ready() const { return (listed || believed) && entry.state == EndpointState::Ready; }
   bool usable() const { return ready() && !failing && proved && !withdrawn; }
 };
 
@@ -414,14 +415,14 @@
   }
 
   // Takes an order as done.
-  void apply(const SetLine& line) {
+  void apply(const SetRoute& line) {
     leftHome = leftHome && line.server != home;
     if (line.weight > 0)
       sent[line.server] = line.weight;
     else
       sent.erase(line.server);
   }
-  void apply(const Admit& admit) {
+  void apply(const SetAdmission& admit) {
     for (std::size_t c = 0; c < levels.size(); ++c) {
       if ((admit.classMask & (1u << c)) != 0) sentLevels[c] = levels[c];
     }
@@ -429,8 +430,8 @@
   }
   // Takes an order as perhaps not done: it is ordered anew as far as it is still wanted.
   void doubt(const Action& order) {
-    if (const auto* line = std::get_if<SetLine>(&order)) sent[line->server] = kInDoubt;
-    if (const auto* admit = std::get_if<Admit>(&order)) levelsInDoubt |= admit->classMask;
+    if (const auto* line = std::get_if<SetRoute>(&order)) sent[line->server] = kInDoubt;
+    if (const auto* admit = std::get_if<SetAdmission>(&order)) levelsInDoubt |= admit->classMask;
   }
   bool levelStands(std::size_t c) const {
     return levels[c] == sentLevels[c] && (levelsInDoubt & (1u << c)) == 0;
@@ -441,10 +442,10 @@
     std::vector<Action> orders;
     for (const auto& [server, w] : want) {
       const auto was = sent.find(server);
-      if (was == sent.end() || was->second != w) orders.push_back(SetLine{table, server, w});
+      if (was == sent.end() || was->second != w) orders.push_back(SetRoute{table, server, w});
     }
     for (const auto& [server, w] : sent) {
-      if (want.count(server) == 0) orders.push_back(SetLine{table, server, 0});
+      if (want.count(server) == 0) orders.push_back(SetRoute{table, server, 0});
     }
     return orders;
   }
@@ -453,14 +454,14 @@
 // What an order sets: a newer order of the same takes its place.
 using Aim = std::tuple<std::size_t, TableId, ServerId, unsigned>;
 inline Aim aimOf(const Action& order) {
-  if (const auto* line = std::get_if<SetLine>(&order)) return {order.index(), line->table, line->server, 0};
-  if (const auto* pull = std::get_if<Withdraw>(&order)) return {order.index(), 0, pull->server, 0};
-  if (const auto* admit = std::get_if<Admit>(&order))
+  if (const auto* line = std::get_if<SetRoute>(&order)) return {order.index(), line->table, line->server, 0};
+  if (const auto* pull = std::get_if<SetEjection>(&order)) return {order.index(), 0, pull->server, 0};
+  if (const auto* admit = std::get_if<SetAdmission>(&order))
     return {order.index(), admit->table, {}, admit->classMask};
   return {order.index(), 0, {}, 0};
 }
 inline TableId tableOf(const Action& order) {
-  return std::holds_alternative<Withdraw>(order) ? kAllTables : std::get<1>(aimOf(order));
+  return std::holds_alternative<SetEjection>(order) ? kAllTables : std::get<1>(aimOf(order));
 }
 // Drops what newer orders replace.
 inline void dropReplaced(std::vector<Action>& orders) {
@@ -523,15 +524,17 @@
   std::vector<std::size_t> order(classes.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-    return classes[a].worth / works[a] < classes[b].worth / works[b];
+    return classes[a].priorityWeight / works[a] < classes[b].priorityWeight / works[b];
   });
   return order;
 }
 
 // Whether both say the same of what a further try may be: orders that name one stand then.
 inline bool sameRetries(const Settings& a, const Settings& b) {
-  const auto alike = [](const RequestClass& x, const RequestClass& y) { return x.effect == y.effect; };
-  return a.tryAims == b.tryAims &&
+  const auto alike = [](const RequestClass& x, const RequestClass& y) {
+    return x.idempotency == y.idempotency;
+  };
+  return a.attemptTimeoutObjectives == b.attemptTimeoutObjectives &&
          std::equal(a.classes.begin(), a.classes.end(), b.classes.begin(), b.classes.end(), alike);
 }
 
--- a/src/supervisor/clock.h
+++ b/src/supervisor/clock.h
@@ -2,7 +2,7 @@
 
 #include <chrono>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::supervisor {
 
--- a/src/supervisor/node.cpp
+++ b/src/supervisor/node.cpp
@@ -26,8 +26,8 @@
 
 // The settings as this program serves them, whatever the file says of what only the protocol decides.
 Settings served(Settings settings) {
-  settings.ordersTold = true;     // by src/relay
-  settings.listOnRequest = true;  // discovery pushes to those that watch, whatever `registryMode` says
+  settings.deliveryReported = true;    // by src/relay
+  settings.endpointsOnRequest = true;  // discovery pushes to those that watch, whatever `registryMode` says
   return settings;
 }
 
@@ -85,12 +85,12 @@
     sources_ = makeSources({base, op, &config_.names, &config_.known, &config_.knownEndpoints, &exchange_,
                             &log_, [this] { return clock_.now(); }});
     if (discovery_)
-      discovery_->tellTo([this](const ListNews& news, const std::vector<std::string>& endpoints) {
+      discovery_->tellTo([this](const EndpointListUpdate& news, const std::vector<std::string>& endpoints) {
         sources_->roster(news, endpoints);
       });
   }
   log_.info("supervisor") << config_.name << " serves at " << config_.listen.text() << ", "
-                          << config_.known.entries.size() << " servers known";
+                          << config_.known.endpoints.size() << " servers known";
   readyAtLast_.in(kReadyAtLast);
   exchange_.post(config_.known);
 }
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -10,7 +10,7 @@
   if (seen_) {
     for (const Event& event : events) seen_(event);
   }
-  for (const Action& action : exchange_.carry(director_.handle(now, events))) {
+  for (const Action& action : exchange_.carry(engine_.handle(now, events))) {
     if (const auto* timer = std::get_if<SetTimer>(&action)) {
       if (!timers_.set(now + timer->delay, timer->token)) log_.warn("supervisor") << "too many timers";
     } else if (const auto* line = std::get_if<Log>(&action)) {
--- a/src/supervisor/supervisor.h
+++ b/src/supervisor/supervisor.h
@@ -13,7 +13,7 @@
 class Supervisor {
  public:
   Supervisor(std::uint64_t seed, const Settings& settings, exchange::Exchange& exchange, log::Log& log)
-      : director_(seed, settings), exchange_(exchange), log_(log) {}
+      : engine_(seed, settings), exchange_(exchange), log_(log) {}
 
   // One turn: due timers and the events that came, as one batch. Nothing to do, nothing done.
   void turn(Micros now);
@@ -23,7 +23,7 @@
   void onEvent(std::function<void(const Event&)> seen) { seen_ = std::move(seen); }
 
  private:
-  Director director_;
+  DecisionEngine engine_;
   exchange::Exchange& exchange_;
   log::Log& log_;
   Timers timers_;
--- a/src/supervisor/timers.h
+++ b/src/supervisor/timers.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::supervisor {
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -42,42 +42,46 @@
 
 RequestClass parseClass(const Fields& f) {
   RequestClass c;
-  c.aim = f.integer("aimUs", 1, kMicrosMax);
+  c.latencyObjective = f.integer("aimUs", 1, kMicrosMax);
   c.deadline = f.integerOr("hardLimitUs", 0, kMicrosMax, 0);
-  c.worth = f.numberOr("worth", 1);
-  c.effect = oneOf<Effect>(
-      f, "effect", {{"repeatable", Effect::Repeatable}, {"by_key", Effect::ByKey}, {"once", Effect::Once}});
+  c.priorityWeight = f.numberOr("worth", 1);
+  c.idempotency = oneOf<Idempotency>(f, "effect",
+                                     {{"repeatable", Idempotency::Idempotent},
+                                      {"by_key", Idempotency::WithIdempotencyKey},
+                                      {"once", Idempotency::NonIdempotent}});
   const std::string scope = f.textOr("dedupScope", "all");
-  c.dedupScope = scope == "cell" ? DedupScope::Cell : scope == "zone" ? DedupScope::Zone : DedupScope::All;
-  c.keyTtl = f.integerOr("keyTtlUs", 0, kMicrosMax, 0);
+  c.deduplicationScope = scope == "cell"   ? DeduplicationScope::Cell
+                         : scope == "zone" ? DeduplicationScope::Zone
+                                           : DeduplicationScope::All;
+  c.idempotencyKeyTtl = f.integerOr("keyTtlUs", 0, kMicrosMax, 0);
   return c;
 }
 
 void parseExtra(const Fields& f, Settings& s) {
   s.slices = static_cast<int>(f.integerOr("shards", 0, kTableMax - 1, 0));
   s.proxies = static_cast<int>(f.integerOr("proxyCount", 0, kProxyMax + 1, 0));
-  s.oneOwner = f.mark("oneOwner");
+  s.sliceOwnership = f.mark("oneOwner") ? SliceOwnership::SingleOwner : SliceOwnership::Shared;
   const std::string level = f.textOr("throttleBy", "fraction");
-  s.levelUnit = level == "fraction"     ? LevelUnit::Share
-                : level == "per_second" ? LevelUnit::PerSecond
-                                        : LevelUnit::Ignored;
-  s.usualSecondTry = static_cast<int>(f.integerOr("usualHow", 0, 3, 0));
-  s.tryAims = f.numberOr("tryAims", s.tryAims);
-  s.linesPerSecond = f.numberOr("egressPerS", s.linesPerSecond);
-  s.linesPerMessage = f.numberOr("perMessage", s.linesPerMessage);
-  s.linesWaitingMax = f.numberOr("pendingMax", s.linesWaitingMax);
+  s.admissionUnit = level == "fraction"     ? AdmissionUnit::Ratio
+                    : level == "per_second" ? AdmissionUnit::RequestsPerSecond
+                                            : AdmissionUnit::Unsupported;
+  s.defaultRetryPolicy = static_cast<RetryPolicy>(f.integerOr("usualHow", 0, 3, 0));
+  s.attemptTimeoutObjectives = f.numberOr("tryAims", s.attemptTimeoutObjectives);
+  s.routesPerSecond = f.numberOr("egressPerS", s.routesPerSecond);
+  s.messageOverheadRoutes = f.numberOr("perMessage", s.messageOverheadRoutes);
+  s.pendingRoutesMax = f.numberOr("pendingMax", s.pendingRoutesMax);
   s.messagesPerProxyMax = static_cast<int>(f.integerOr("updateCap", 0, kIntMax, 0));
-  s.messagesSpan = f.integerOr("updateWindowUs", 0, kMicrosMax, 0);
-  s.orderDelay = f.integerOr("pushDelayUs", 0, kMicrosMax, 0);
-  s.orderDelayMax = f.integerOr("pushDelayMaxUs", 0, kMicrosMax, 0);
-  s.reportEvery = f.integerOr("reportEveryUs", 1, kMicrosMax, s.reportEvery);
+  s.messageWindow = f.integerOr("updateWindowUs", 0, kMicrosMax, 0);
+  s.pushDelay = f.integerOr("pushDelayUs", 0, kMicrosMax, 0);
+  s.pushDelayMax = f.integerOr("pushDelayMaxUs", 0, kMicrosMax, 0);
+  s.reportInterval = f.integerOr("reportEveryUs", 1, kMicrosMax, s.reportInterval);
   s.lease = f.integerOr("leaseUs", 0, kMicrosMax, 0);
-  s.writeSettle = f.integerOr("inFlightMaxUs", 0, kMicrosMax, 0);
-  s.bareMax = f.integerOr("blackholeUs", 0, kMicrosMax, 0);
+  s.inFlightWriteMax = f.integerOr("inFlightMaxUs", 0, kMicrosMax, 0);
+  s.unroutableMax = f.integerOr("blackholeUs", 0, kMicrosMax, 0);
   if (const Value* writes = f.find("mutating")) {
     if (!writes->IsArray()) bad(f.where(), "'mutating' is not an array");
     for (rapidjson::SizeType i = 0; i < writes->Size() && i < s.classes.size(); ++i) {
-      s.classes[i].write = (*writes)[i].IsBool() && (*writes)[i].GetBool();
+      s.classes[i].isWrite = (*writes)[i].IsBool() && (*writes)[i].GetBool();
     }
   }
 }
@@ -91,22 +95,22 @@
   if (classes.Empty()) bad(where, "'classes' is empty");
   for (const Value& c : classes.GetArray()) s.classes.push_back(parseClass(Fields(c, where + ": classes")));
   s.supervisors = static_cast<int>(f.integerOr("groupSize", 1, kIntMax, 1));
-  s.listOnRequest = f.textOr("registryMode", "pushed") == "on_request";
-  s.listedWeights = f.textOr("weights", "silent") != "silent";
+  s.endpointsOnRequest = f.textOr("registryMode", "pushed") == "on_request";
+  s.endpointsHaveWeights = f.textOr("weights", "silent") != "silent";
   if (const Value* limits = f.find("limits")) {
     const Fields l(*limits, where + ": limits");
-    s.probesAllowed = l.mark("probes");
-    s.peerNotesAllowed = l.mark("peerMessages");
+    s.healthChecksAllowed = l.mark("probes");
+    s.gossipAllowed = l.mark("peerMessages");
   }
   if (const Value* rules = f.find("rules")) {
     const Fields r(*rules, where + ": rules");
     s.drainGrace = r.integerOr("drainGraceUs", 0, kMicrosMax, 0);
-    s.goneIsAdvice = r.mark("goneIsAdvice");
-    s.askWithin = r.integerOr("askWithinUs", 0, kMicrosMax, 0);
-    s.startCapacity = r.numberOr("startCapacity", 1);
-    s.warmAfter = r.integerOr("warmAfterUs", 0, kMicrosMax, 0);
+    s.removalIsAdvisory = r.mark("goneIsAdvice");
+    s.pollDeadline = r.integerOr("askWithinUs", 0, kMicrosMax, 0);
+    s.initialCapacity = r.numberOr("startCapacity", 1);
+    s.slowStartWindow = r.integerOr("warmAfterUs", 0, kMicrosMax, 0);
     s.overloadFactor = r.numberOr("overloadFactor", 1);
-    s.fallAfter = r.integerOr("fallUs", 0, kMicrosMax, 0);
+    s.overloadDurationMax = r.integerOr("fallUs", 0, kMicrosMax, 0);
   }
   if (const Value* extra = f.find("extra")) parseExtra(Fields(*extra, where + ": extra"), s);
   return s;
@@ -120,32 +124,33 @@
 ProxyId proxyOf(const Fields& f) { return static_cast<ProxyId>(f.integer("sidecar", 0, kProxyMax)); }
 TableId tableOf(const Fields& f) { return static_cast<TableId>(f.integer("tbl", 0, kTableMax)); }
 
-ServerEntry parseEntry(const Fields& f) {
-  ServerEntry e;
+Endpoint parseEntry(const Fields& f) {
+  Endpoint e;
   e.server = serverId(f, "server");
   e.weight = f.numberOr("w", 1);
   e.startedAt = f.integerOr("startedAtUs", 0, kMicrosMax, 0);
   e.cell = static_cast<int>(f.integerOr("group", 0, kIntMax, 0));
   e.zone = static_cast<int>(f.integerOr("rackZone", 0, kIntMax, 0));
   e.kind = static_cast<int>(f.integerOr("sku", 0, kIntMax, 0));
-  e.state = oneOf<ServerState>(
-      f, "health", {{"U", ServerState::Ready}, {"L", ServerState::Draining}, {"D", ServerState::Gone}});
+  e.state = oneOf<EndpointState>(
+      f, "health",
+      {{"U", EndpointState::Ready}, {"L", EndpointState::Draining}, {"D", EndpointState::Removed}});
   return e;
 }
 
 Input parsePeersKnown(const Fields& f) {
-  ListNews news;
-  news.mode = oneOf<ListMode>(f, "mode",
-                              {{"diff", ListMode::Delta},
-                               {"snapshot", ListMode::Full},
-                               {"disk", ListMode::Cached},
-                               {"error", ListMode::Failed}});
+  EndpointListUpdate news;
+  news.kind = oneOf<EndpointListKind>(f, "mode",
+                                      {{"diff", EndpointListKind::Delta},
+                                       {"snapshot", EndpointListKind::Full},
+                                       {"disk", EndpointListKind::Cached},
+                                       {"error", EndpointListKind::Failed}});
   news.version = f.integerOr("rev", 0, kMicrosMax, 0);
   if (f.find("entries") != nullptr) {
     for (const Value& e : f.array("entries").GetArray()) {
-      news.entries.push_back(parseEntry(Fields(e, f.where() + ": entries")));
+      news.endpoints.push_back(parseEntry(Fields(e, f.where() + ": entries")));
     }
-  } else if (news.mode != ListMode::Failed) {
+  } else if (news.kind != EndpointListKind::Failed) {
     f.need("entries");
   }
   return Event{std::move(news)};
@@ -161,20 +166,20 @@
 }
 
 Input parseEcho(const Fields& f) {
-  static constexpr ProbeOutcome kOutcomes[] = {ProbeOutcome::Error,       ProbeOutcome::Answered,
-                                               ProbeOutcome::Rejected,    ProbeOutcome::Timeout,
-                                               ProbeOutcome::Unreachable, ProbeOutcome::Broken};
-  return Event{ProbeResult{serverId(f, "server"), kOutcomes[f.integer("ending", 0, 5)],
-                           f.integerOr("durationUs", 0, kMicrosMax, 0)}};
+  static constexpr HealthCheckOutcome kOutcomes[] = {
+      HealthCheckOutcome::Error,   HealthCheckOutcome::Passed,      HealthCheckOutcome::Rejected,
+      HealthCheckOutcome::Timeout, HealthCheckOutcome::Unreachable, HealthCheckOutcome::ConnectionLost};
+  return Event{HealthCheckResult{serverId(f, "server"), kOutcomes[f.integer("ending", 0, 5)],
+                                 f.integerOr("durationUs", 0, kMicrosMax, 0)}};
 }
 
 Input parseUpstreamStats(const Fields& f) {
-  ServerReport r{zoneOf(f),
-                 serverId(f, "server"),
-                 f.integer("total", 0, kIntMax),
-                 f.integerOr("bad", 0, kIntMax, 0),
-                 f.integerOr("durationUs", 0, kMicrosMax, 0),
-                 f.integer("windowUs", 0, kMicrosMax)};
+  ServerLoadReport r{zoneOf(f),
+                     serverId(f, "server"),
+                     f.integer("total", 0, kIntMax),
+                     f.integerOr("bad", 0, kIntMax, 0),
+                     f.integerOr("durationUs", 0, kMicrosMax, 0),
+                     f.integer("windowUs", 0, kMicrosMax)};
   return Event{std::move(r)};
 }
 
@@ -190,39 +195,39 @@
       {"echo", parseEcho},
       {"message",
        [](const Fields& f) {
-         return Input{
-             Event{PeerNote{static_cast<int>(f.integer("originPeer", 0, kIntMax)), fromHex(f, "octets")}}};
+         return Input{Event{
+             GossipReceived{static_cast<int>(f.integer("originPeer", 0, kIntMax)), fromHex(f, "octets")}}};
        }},
       {"enrolled",
        [](const Fields& f) {
-         return Input{Event{ProxyJoined{proxyOf(f), zoneOf(f), f.numberOr("w", 0), f.mark("on")}}};
+         return Input{Event{ProxyConnected{proxyOf(f), zoneOf(f), f.numberOr("w", 0), f.mark("on")}}};
        }},
-      {"parted", [](const Fields& f) { return Input{Event{ProxyLeft{proxyOf(f)}}}; }},
+      {"parted", [](const Fields& f) { return Input{Event{ProxyDisconnected{proxyOf(f)}}}; }},
       {"upstreamStats", parseUpstreamStats},
       {"usage",
        [](const Fields& f) {
          return Input{
-             Event{ProxyDemand{proxyOf(f), classOf(f), f.integer("total", 0, kIntMax),
-                               f.integerOr("bad", 0, kIntMax, 0), f.integer("windowUs", 0, kMicrosMax)}}};
+             Event{ProxyLoadReport{proxyOf(f), classOf(f), f.integer("total", 0, kIntMax),
+                                   f.integerOr("bad", 0, kIntMax, 0), f.integer("windowUs", 0, kMicrosMax)}}};
        }},
       {"activity",
        [](const Fields& f) {
          return Input{
-             Event{SliceDemand{tableOf(f), classOf(f), f.integer("total", 0, kIntMax),
-                               f.integerOr("bad", 0, kIntMax, 0), f.integer("windowUs", 0, kMicrosMax)}}};
+             Event{SliceLoadReport{tableOf(f), classOf(f), f.integer("total", 0, kIntMax),
+                                   f.integerOr("bad", 0, kIntMax, 0), f.integer("windowUs", 0, kMicrosMax)}}};
        }},
       {"charge",
        [](const Fields& f) {
-         return Input{Event{SliceCharge{tableOf(f), f.mark("on")}}};
+         return Input{Event{SliceAssignment{tableOf(f), f.mark("on")}}};
        }},
       {"onRecord",
        [](const Fields& f) {
-         return Input{Event{StoredLine{tableOf(f), serverId(f, "server"), f.number("w")}}};
+         return Input{Event{StoredRoute{tableOf(f), serverId(f, "server"), f.number("w")}}};
        }},
       {"tookEffect",
        [](const Fields& f) {
-         return Input{Event{OrderApplied{proxyOf(f), static_cast<int>(f.integer("rev", 0, 65535)),
-                                         f.integerOr("durationUs", 0, kMicrosMax, 0)}}};
+         return Input{Event{UpdateAcknowledged{proxyOf(f), static_cast<int>(f.integer("rev", 0, 65535)),
+                                               f.integerOr("durationUs", 0, kMicrosMax, 0)}}};
        }},
   };
   return table;
@@ -268,21 +273,21 @@
     integer("waitUs", a.delay);
     text("handle", a.token);
   }
-  void operator()(const WatchList& a) {
+  void operator()(const WatchEndpoints& a) {
     begin("track");
-    mark("on", a.on);
+    mark("on", a.enabled);
   }
-  void operator()(const FetchList&) { begin("lookup"); }
-  void operator()(const Probe& a) {
+  void operator()(const PollEndpoints&) { begin("lookup"); }
+  void operator()(const HealthCheck& a) {
     begin("ping");
     text("server", a.server);
   }
-  void operator()(const TellPeers& a) {
+  void operator()(const SendGossip& a) {
     begin("say");
     text("to", "*");
-    text("octets", toHex(a.bytes));
+    text("octets", toHex(a.payload));
   }
-  void operator()(const SetLine& a) {
+  void operator()(const SetRoute& a) {
     begin("setLine");
     integer("tbl", a.table);
     text("server", a.server);
@@ -292,22 +297,22 @@
     begin("truncate");
     integer("tbl", a.table);
   }
-  void operator()(const Withdraw& a) {
+  void operator()(const SetEjection& a) {
     begin("pull");
-    mark("on", a.out);
+    mark("on", a.state == EjectionState::Ejected);
     text("server", a.server);
   }
-  void operator()(const Admit& a) {
+  void operator()(const SetAdmission& a) {
     begin("throttle");
     integer("tbl", a.table);
-    integer("secondTry", static_cast<int>(a.secondTry));
+    integer("secondTry", static_cast<int>(a.retryPolicy));
     integer("classes", a.classMask);
-    number("limit", a.level);
+    number("limit", a.ratio);
   }
-  void operator()(const Mark& a) {
+  void operator()(const AcknowledgementRequest& a) {
     begin("nonce");
-    mark("on", a.reachAll);
-    integer("rev", a.mark);
+    mark("on", a.everyProxy);
+    integer("rev", a.updateId);
   }
   void operator()(const Log& a) {
     begin("print");
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -7,7 +7,7 @@
 #include <variant>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 #include "wire/malformed.h"
 
 namespace peargrade::wire {
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 #include "wire/malformed.h"
 
 namespace peargrade::wire {
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -9,9 +9,9 @@
 
 // The slice an event is about, or -1.
 TableId sliceOf(const Event& event) {
-  if (const auto* e = std::get_if<SliceDemand>(&event)) return e->slice;
-  if (const auto* e = std::get_if<SliceCharge>(&event)) return e->slice;
-  if (const auto* e = std::get_if<StoredLine>(&event)) return e->slice;
+  if (const auto* e = std::get_if<SliceLoadReport>(&event)) return e->slice;
+  if (const auto* e = std::get_if<SliceAssignment>(&event)) return e->slice;
+  if (const auto* e = std::get_if<StoredRoute>(&event)) return e->slice;
   return -1;
 }
 
@@ -28,7 +28,7 @@
     auto running = instances_.find(group.supervisor);
     auto flush = [&] {
       if (running == instances_.end() || events.empty()) return;
-      auto actions = running->second.director.handle(batch.now, events);
+      auto actions = running->second.engine.handle(batch.now, events);
       out.insert(out.end(), actions.begin(), actions.end());
       events.clear();
     };
@@ -36,7 +36,7 @@
       if (const auto* start = std::get_if<wire::NewInstance>(&input)) {
         flush();
         instances_.erase(group.supervisor);
-        Instance fresh{Director(start->seed, start->settings), start->settings.slices};
+        Instance fresh{DecisionEngine(start->seed, start->settings), start->settings.slices};
         running = instances_.emplace(group.supervisor, std::move(fresh)).first;
         continue;
       }
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -1,10 +1,11 @@
-// Hosts many Directors by instance number and answers one batch at a time. Nothing is shared between them.
+// Hosts many DecisionEngines by instance number and answers one batch at a time. Nothing is shared between
+// them.
 #pragma once
 
 #include <iosfwd>
 #include <map>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 #include "wire/codec.h"
 
 namespace peargrade::wirehost {
@@ -16,7 +17,7 @@
 
  private:
   struct Instance {
-    Director director;
+    DecisionEngine engine;
     int slices;
   };
   std::map<int, Instance> instances_;
--- a/src/zone_server/commands.h
+++ b/src/zone_server/commands.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "log/log.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::zone_server {
 
--- a/src/zone_server/context.h
+++ b/src/zone_server/context.h
@@ -7,7 +7,7 @@
 
 #include "discovery/catalog.h"
 #include "log/log.h"
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade::zone_server {
 
--- a/src/zone_server/zone_observation.cpp
+++ b/src/zone_server/zone_observation.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 struct Attributes {
-  ServerState state = ServerState::Ready;
+  EndpointState state = EndpointState::Ready;
   Micros startedAt = 0;
   int zone = -1, kind = -1, cell = -1;
 };
@@ -25,7 +25,7 @@
   const std::string key = text.substr(0, equals), value = text.substr(equals + 1);
   std::int64_t number = 0;
   if (key == "state") {
-    a.state = value == "draining" ? ServerState::Draining : ServerState::Ready;
+    a.state = value == "draining" ? EndpointState::Draining : EndpointState::Ready;
     return value == "draining" || value == "ready";
   }
   if (key == "zone") return (a.zone = discovery::placeOf(names.zones, value)) >= 0;
@@ -56,10 +56,10 @@
     for (const std::string& text : dns_zone::textsOf(data)) {
       if (!read(text, names, a)) notes.push_back(unknownAttribute(host, text));
       // Of two words on its state the careful one holds.
-      draining = draining || a.state == ServerState::Draining;
+      draining = draining || a.state == EndpointState::Draining;
     }
   }
-  if (draining) a.state = ServerState::Draining;
+  if (draining) a.state = EndpointState::Draining;
   return a;
 }
 
@@ -86,7 +86,7 @@
   void target(const dns_zone::Srv& srv) {
     const std::string host = resolved(zone, srv.target);
     Attributes attributes = attributesOf(zone, host, names, offer.notes);
-    if (drained.count(host) != 0) attributes.state = ServerState::Draining;
+    if (drained.count(host) != 0) attributes.state = EndpointState::Draining;
     bool any = false;
     for (const dns_zone::Type type : {dns_zone::Type::A, dns_zone::Type::AAAA}) {
       const dns_zone::Zone::Set* addresses = zone.find(host, type);
--- a/tests/clients/clients_test.cpp
+++ b/tests/clients/clients_test.cpp
@@ -69,18 +69,18 @@
   const auto names = testNames();
   EXPECT_TRUE(std::holds_alternative<Heartbeat>(parseMessage(R"({"type":"hb"})", names, 10)));
   EXPECT_EQ(std::get<Telemetry>(parseMessage(R"({"type":"telemetry","az":"b"})", names, 10)).zone, 1);
-  const auto report = std::get<ServerReport>(parseMessage(kReport, names, 10));
+  const auto report = std::get<ServerLoadReport>(parseMessage(kReport, names, 10));
   EXPECT_EQ(report.zone, 1);
   EXPECT_EQ(report.server, "s-5be2a07c");
-  EXPECT_EQ(report.tries, 212);
-  EXPECT_EQ(report.failed, 3);
-  EXPECT_EQ(report.latency, 41700);
+  EXPECT_EQ(report.attempts, 212);
+  EXPECT_EQ(report.failures, 3);
+  EXPECT_EQ(report.meanLatency, 41700);
   EXPECT_EQ(report.window, 1000000);
-  const auto demand = std::get<SliceDemand>(parseMessage(kDemand, names, 10));
+  const auto demand = std::get<SliceLoadReport>(parseMessage(kDemand, names, 10));
   EXPECT_EQ(demand.slice, 8);
-  EXPECT_EQ(demand.cls, 1);
+  EXPECT_EQ(demand.requestClass, 1);
   EXPECT_EQ(demand.requests, 40);
-  EXPECT_EQ(demand.failed, 1);
+  EXPECT_EQ(demand.failures, 1);
   EXPECT_EQ(demand.window, 1000000);
 }
 
@@ -205,8 +205,8 @@
     event_base_loop(loop.base.get(), EVLOOP_NONBLOCK);
   }
   ASSERT_TRUE(until([&] { return seen.events.size() == 2; }));
-  EXPECT_EQ(seen.all<ServerReport>().at(0).tries, 212);
-  EXPECT_EQ(seen.all<SliceDemand>().at(0).slice, 8);
+  EXPECT_EQ(seen.all<ServerLoadReport>().at(0).attempts, 212);
+  EXPECT_EQ(seen.all<SliceLoadReport>().at(0).slice, 8);
   EXPECT_TRUE(c.received.empty()) << "nothing is ever written to a collector";
 }
 
@@ -357,10 +357,11 @@
   ASSERT_TRUE(until([&] { return seen.events.size() == sent + usable; }));
   EXPECT_GT(sent, 150u);
   EXPECT_EQ(clients->skipped(), sent - usable);
-  for (const ServerReport& r : seen.all<ServerReport>()) {
+  for (const ServerLoadReport& r : seen.all<ServerLoadReport>()) {
     EXPECT_GT(r.window, 0);
-    EXPECT_LE(r.failed, r.tries);
-    EXPECT_TRUE(r.latency > 0 || r.tries == r.failed) << "no quick server from a mean that is not there";
+    EXPECT_LE(r.failures, r.attempts);
+    EXPECT_TRUE(r.meanLatency > 0 || r.attempts == r.failures)
+        << "no quick server from a mean that is not there";
   }
 }
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -43,9 +43,9 @@
   EXPECT_EQ(c.settings.supervisors, 2);
   EXPECT_EQ(c.names.zones, (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(c.names.classes, (std::vector<std::string>{"lookup"}));
-  EXPECT_EQ(c.known.mode, ListMode::Cached);
+  EXPECT_EQ(c.known.kind, EndpointListKind::Cached);
   EXPECT_EQ(c.known.version, 41);
-  EXPECT_EQ(c.known.entries.at(0).zone, 1);
+  EXPECT_EQ(c.known.endpoints.at(0).zone, 1);
 }
 
 TEST(Config, EnvironmentGoesBeforeTheFile) {
--- a/tests/decision/recorded_stream.cpp
+++ b/tests/decision/recorded_stream.cpp
@@ -42,29 +42,29 @@
   hash.foldInteger(action.delay);
   hash.fold(action.token);
 }
-void foldFields(Hash& hash, const WatchList& action) { hash.foldInteger(action.on); }
-void foldFields(Hash& /*hash*/, const FetchList& /*action*/) {}
-void foldFields(Hash& hash, const Probe& action) { hash.fold(action.server); }
-void foldFields(Hash& hash, const TellPeers& action) { hash.fold(action.bytes); }
-void foldFields(Hash& hash, const SetLine& action) {
+void foldFields(Hash& hash, const WatchEndpoints& action) { hash.foldInteger(action.enabled); }
+void foldFields(Hash& /*hash*/, const PollEndpoints& /*action*/) {}
+void foldFields(Hash& hash, const HealthCheck& action) { hash.fold(action.server); }
+void foldFields(Hash& hash, const SendGossip& action) { hash.fold(action.payload); }
+void foldFields(Hash& hash, const SetRoute& action) {
   hash.foldInteger(action.table);
   hash.fold(action.server);
   hash.fold(action.weight);
 }
 void foldFields(Hash& hash, const ClearTable& action) { hash.foldInteger(action.table); }
-void foldFields(Hash& hash, const Withdraw& action) {
+void foldFields(Hash& hash, const SetEjection& action) {
   hash.fold(action.server);
-  hash.foldInteger(action.out);
+  hash.foldInteger(action.state == EjectionState::Ejected);
 }
-void foldFields(Hash& hash, const Admit& action) {
+void foldFields(Hash& hash, const SetAdmission& action) {
   hash.foldInteger(action.table);
   hash.foldInteger(action.classMask);
-  hash.fold(action.level);
-  hash.foldInteger(static_cast<int>(action.secondTry));
+  hash.fold(action.ratio);
+  hash.foldInteger(static_cast<int>(action.retryPolicy));
 }
-void foldFields(Hash& hash, const Mark& action) {
-  hash.foldInteger(action.mark);
-  hash.foldInteger(action.reachAll);
+void foldFields(Hash& hash, const AcknowledgementRequest& action) {
+  hash.foldInteger(action.updateId);
+  hash.foldInteger(action.everyProxy);
 }
 void foldFields(Hash& /*hash*/, const Log& /*action*/) {}
 
@@ -96,7 +96,7 @@
 };
 
 struct SimulatedServer {
-  ServerEntry entry;
+  Endpoint entry;
   bool running = true;     // answers at all
   double speed = 1;        // of a usual server
   double errorShare = 0;   // of attempts, beside those of overload
@@ -170,19 +170,19 @@
   bool apply(const Action& action) {
     if (const auto* timer = std::get_if<SetTimer>(&action))
       schedule(now_ + timer->delay + random_.delay(0, 13 * kMillisecond), TimerFired{timer->token});
-    if (const auto* probe = std::get_if<Probe>(&action)) answerProbe(probe->server);
-    if (const auto* watch = std::get_if<WatchList>(&action)) answerWatch(watch->on);
-    if (const auto* line = std::get_if<SetLine>(&action)) return applyRoute(*line);
-    if (const auto* pull = std::get_if<Withdraw>(&action)) {
-      servers_[pull->server].withdrawn = pull->out;
+    if (const auto* probe = std::get_if<HealthCheck>(&action)) answerProbe(probe->server);
+    if (const auto* watch = std::get_if<WatchEndpoints>(&action)) answerWatch(watch->enabled);
+    if (const auto* line = std::get_if<SetRoute>(&action)) return applyRoute(*line);
+    if (const auto* pull = std::get_if<SetEjection>(&action)) {
+      servers_[pull->server].withdrawn = pull->state == EjectionState::Ejected;
       return true;
     }
-    if (const auto* admit = std::get_if<Admit>(&action)) return applyAdmission(*admit);
-    if (const auto* mark = std::get_if<Mark>(&action)) deliver(mark->mark);
+    if (const auto* admit = std::get_if<SetAdmission>(&action)) return applyAdmission(*admit);
+    if (const auto* mark = std::get_if<AcknowledgementRequest>(&action)) deliver(mark->updateId);
     return false;
   }
 
-  bool applyRoute(const SetLine& line) {
+  bool applyRoute(const SetRoute& line) {
     std::map<ServerId, double>& routes = slices_[line.table].routes;
     if (line.weight > 0)
       routes[line.server] = line.weight;
@@ -191,29 +191,30 @@
     return true;
   }
 
-  bool applyAdmission(const Admit& admit) {
+  bool applyAdmission(const SetAdmission& admit) {
     for (std::size_t c = 0; c < fleetLevels_.size(); ++c) {
       if ((admit.classMask & (1U << c)) == 0) continue;
       const auto slice = slices_.find(admit.table);
-      if (admit.table == kAllTables) fleetLevels_[c] = admit.level;
-      if (slice != slices_.end()) slice->second.levels[c] = admit.level;
+      if (admit.table == kAllTables) fleetLevels_[c] = admit.ratio;
+      if (slice != slices_.end()) slice->second.levels[c] = admit.ratio;
     }
     return true;
   }
 
   void answerProbe(const ServerId& server) {
     const SimulatedServer& target = servers_[server];
-    ProbeResult result;
+    HealthCheckResult result;
     result.server = server;
-    result.outcome = target.running ? ProbeOutcome::Answered : ProbeOutcome::Unreachable;
-    result.took = random_.delay(kMillisecond, random_.chance(0.5) ? 1500 * kMillisecond : 40 * kMillisecond);
-    schedule(now_ + result.took, result);
+    result.outcome = target.running ? HealthCheckOutcome::Passed : HealthCheckOutcome::Unreachable;
+    result.duration =
+        random_.delay(kMillisecond, random_.chance(0.5) ? 1500 * kMillisecond : 40 * kMillisecond);
+    schedule(now_ + result.duration, result);
   }
 
   void answerWatch(bool on) {
     if (!on) return;
-    ListNews news = wholeList();
-    if (random_.chance(0.4)) news = ListNews{ListMode::Failed, 0, {}};
+    EndpointListUpdate news = wholeList();
+    if (random_.chance(0.4)) news = EndpointListUpdate{EndpointListKind::Failed, 0, {}};
     schedule(now_ + random_.delay(20 * kMillisecond, 400 * kMillisecond), std::move(news));
   }
 
@@ -224,15 +225,17 @@
         now_ + random_.delay(5 * kMillisecond, slowChannel_ ? 3 * kSecond : 150 * kMillisecond);
     const bool taken = !random_.chance(lossy_ ? 0.3 : 0.02);
     const int messages = taken ? 1 + (random_.chance(0.05) ? 1 : 0) : random_.below(2);
-    if (settings_.ordersTold) schedule(accepted, OrdersTold{mark, taken, messages});
-    if (random_.chance(0.03)) schedule(accepted, OrdersTold{mark + 7, true, 1});
+    if (settings_.deliveryReported)
+      schedule(accepted, UpdateDelivery{mark, taken ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete,
+                                        messages});
+    if (random_.chance(0.03)) schedule(accepted, UpdateDelivery{mark + 7, DeliveryOutcome::Accepted, 1});
     if (!taken) return;
     for (const auto& [proxy, zone] : proxies_) {
       if (random_.chance(lossy_ ? 0.2 : 0.01)) continue;
-      const Micros took = random_.delay(settings_.orderDelay / 2, settings_.orderDelayMax);
-      schedule(accepted + took, OrderApplied{proxy, mark, took});
+      const Micros took = random_.delay(settings_.pushDelay / 2, settings_.pushDelayMax);
+      schedule(accepted + took, UpdateAcknowledged{proxy, mark, took});
     }
-    if (random_.chance(0.05)) schedule(accepted, OrderApplied{60000, mark, 1});
+    if (random_.chance(0.05)) schedule(accepted, UpdateAcknowledged{60000, mark, 1});
   }
 
   // ---- Loads ----
@@ -246,9 +249,10 @@
     if (settings_.slices == 0) reportProxies(offered);
     for (auto& [id, rates] : offered) reportServer(id, rates);
     if (random_.chance(0.05))
-      outbox_.emplace_back(ServerReport{0, "unknown", 50, 10, 90 * kMillisecond, settings_.reportEvery});
-    if (random_.chance(0.05)) outbox_.emplace_back(SliceDemand{0, 99, 50, 10, settings_.reportEvery});
-    scheduleTask(now_ + settings_.reportEvery, &SimulatedFleet::report);
+      outbox_.emplace_back(
+          ServerLoadReport{0, "unknown", 50, 10, 90 * kMillisecond, settings_.reportInterval});
+    if (random_.chance(0.05)) outbox_.emplace_back(SliceLoadReport{0, 99, 50, 10, settings_.reportInterval});
+    scheduleTask(now_ + settings_.reportInterval, &SimulatedFleet::report);
   }
 
   void reportSlice(TableId table, const SimulatedSlice& slice,
@@ -259,7 +263,8 @@
       const double rate = slice.rates[c] * demandFactor_ * random_.between(0.9, 1.1);
       const auto requests = count(rate);
       if (requests > 0)
-        outbox_.emplace_back(SliceDemand{table, static_cast<int>(c), requests, 0, settings_.reportEvery});
+        outbox_.emplace_back(
+            SliceLoadReport{table, static_cast<int>(c), requests, 0, settings_.reportInterval});
       for (const auto& [server, weight] : slice.routes) {
         if (servers_[server].withdrawn || weights <= 0) continue;
         std::vector<double>& rates = offered[server];
@@ -271,7 +276,7 @@
 
   void reportProxies(std::map<ServerId, std::vector<double>>& offered) {
     for (const auto& [proxy, zone] : proxies_) {
-      outbox_.emplace_back(ProxyDemand{proxy, 0, count(20 * demandFactor_), 0, settings_.reportEvery});
+      outbox_.emplace_back(ProxyLoadReport{proxy, 0, count(20 * demandFactor_), 0, settings_.reportInterval});
     }
     for (auto& [id, server] : servers_) {
       if (server.withdrawn) continue;
@@ -285,7 +290,8 @@
     double work = 0;
     double requests = 0;
     for (std::size_t c = 0; c < rates.size(); ++c) {
-      work += rates[c] * static_cast<double>(settings_.classes[c].aim) / static_cast<double>(kSecond);
+      work += rates[c] * static_cast<double>(settings_.classes[c].latencyObjective) /
+              static_cast<double>(kSecond);
       requests += rates[c];
     }
     const double capacity = capacityOf(server);
@@ -305,23 +311,23 @@
       const double seconds = (queueing / server.speed + way) * random_.between(0.92, 1.08);
       const Micros latency =
           failed < attempts ? static_cast<Micros>(seconds * static_cast<double>(kSecond)) : 0;
-      outbox_.emplace_back(ServerReport{zone, id, attempts, failed, latency, settings_.reportEvery});
+      outbox_.emplace_back(ServerLoadReport{zone, id, attempts, failed, latency, settings_.reportInterval});
     }
   }
 
   double capacityOf(const SimulatedServer& server) const {
     const Micros age = now_ - server.entry.startedAt;
-    const bool cold = server.entry.startedAt > 0 && age < settings_.warmAfter;
-    const double warm = cold ? settings_.startCapacity + (1 - settings_.startCapacity) *
-                                                             static_cast<double>(age) /
-                                                             static_cast<double>(settings_.warmAfter)
+    const bool cold = server.entry.startedAt > 0 && age < settings_.slowStartWindow;
+    const double warm = cold ? settings_.initialCapacity + (1 - settings_.initialCapacity) *
+                                                               static_cast<double>(age) /
+                                                               static_cast<double>(settings_.slowStartWindow)
                              : 1;
-    return 90 * server.speed * warm * (settings_.listedWeights ? server.entry.weight : 1);
+    return 90 * server.speed * warm * (settings_.endpointsHaveWeights ? server.entry.weight : 1);
   }
 
   std::int64_t count(double rate) const {
     return static_cast<std::int64_t>(
-        rate * static_cast<double>(settings_.reportEvery) / static_cast<double>(kSecond) + 0.5);
+        rate * static_cast<double>(settings_.reportInterval) / static_cast<double>(kSecond) + 0.5);
   }
 
   // ---- The list ----
@@ -331,7 +337,7 @@
     server.entry.server = "server-" + std::to_string(nextServer_++);
     server.entry.zone = zone;
     server.entry.startedAt = startedAt;
-    server.entry.weight = settings_.listedWeights ? 1 + random_.below(3) : 1;
+    server.entry.weight = settings_.endpointsHaveWeights ? 1 + random_.below(3) : 1;
     server.speed = random_.between(0.9, 1.1);
     const ServerId id = server.entry.server;
     servers_[id] = server;
@@ -339,14 +345,14 @@
     return id;
   }
 
-  ListNews wholeList() const {
-    ListNews news{ListMode::Full, ++version_, {}};
-    for (const ServerId& id : listed_) news.entries.push_back(servers_.at(id).entry);
+  EndpointListUpdate wholeList() const {
+    EndpointListUpdate news{EndpointListKind::Full, ++version_, {}};
+    for (const ServerId& id : listed_) news.endpoints.push_back(servers_.at(id).entry);
     return news;
   }
 
   void announce(const ServerId& id) {
-    ListNews news{ListMode::Delta, ++version_, {servers_[id].entry}};
+    EndpointListUpdate news{EndpointListKind::Delta, ++version_, {servers_[id].entry}};
     schedule(now_ + random_.delay(10 * kMillisecond, 700 * kMillisecond), std::move(news));
   }
 
@@ -360,9 +366,9 @@
 
   void begin() {
     now_ = kStart;
-    ListNews cached = wholeList();
-    cached.mode = ListMode::Cached;
-    if (cached.entries.size() > 4) cached.entries.pop_back();
+    EndpointListUpdate cached = wholeList();
+    cached.kind = EndpointListKind::Cached;
+    if (cached.endpoints.size() > 4) cached.endpoints.pop_back();
     std::vector<Event> events{cached};
     for (int k = 0; k < deployment_.proxies; ++k) connect(k, events);
     for (int table = 0; table < deployment_.ownedSlices; ++table) {
@@ -389,20 +395,20 @@
 
   void assign(TableId table, std::vector<Event>& events) {
     assigned_.insert(table);
-    events.emplace_back(SliceCharge{table, true});
+    events.emplace_back(SliceAssignment{table, true});
     for (const auto& [server, weight] : slices_[table].routes)
-      events.emplace_back(StoredLine{table, server, weight});
+      events.emplace_back(StoredRoute{table, server, weight});
   }
 
   void connect(ProxyId proxy, std::vector<Event>& events) {
     const int zone = proxy % deployment_.zones;
-    events.emplace_back(ProxyJoined{proxy, zone, 5, proxies_.count(proxy) == 0});
+    events.emplace_back(ProxyConnected{proxy, zone, 5, proxies_.count(proxy) == 0});
     proxies_[proxy] = zone;
   }
 
   // Events about a slice of nobody here: they change nothing but the times at which the module decides.
   void chatter() {
-    outbox_.emplace_back(SliceCharge{kUnknownTable, false});
+    outbox_.emplace_back(SliceAssignment{kUnknownTable, false});
     const bool starting = now_ - kStart < kSecond;
     scheduleTask(now_ + random_.delay(2 * kMillisecond, (starting ? 6 : 350) * kMillisecond),
                  &SimulatedFleet::chatter);
@@ -411,7 +417,7 @@
   // ---- What happens to the fleet ----
 
   void scheduleRoutine(Micros end) {
-    scheduleTask(kStart + settings_.reportEvery, &SimulatedFleet::report);
+    scheduleTask(kStart + settings_.reportInterval, &SimulatedFleet::report);
     const std::vector<Task> incidents{
         &SimulatedFleet::rollOne,    &SimulatedFleet::rollOne,   &SimulatedFleet::rollMany,
         &SimulatedFleet::crashOne,   &SimulatedFleet::slowOne,   &SimulatedFleet::failOne,
@@ -431,8 +437,8 @@
   void replaceOne(Micros drainFor) {
     if (listed_.size() < 6) return;
     const ServerId id = anyListed();
-    if (servers_[id].entry.state != ServerState::Ready) return;
-    servers_[id].entry.state = ServerState::Draining;
+    if (servers_[id].entry.state != EndpointState::Ready) return;
+    servers_[id].entry.state = EndpointState::Draining;
     announce(id);
     leaving_.insert({now_ + drainFor, id});
     scheduleTask(now_ + drainFor, &SimulatedFleet::finishDrains);
@@ -444,7 +450,7 @@
       leaving_.erase(leaving_.begin());
       const int zone = servers_[id].entry.zone;
       servers_[id].running = false;
-      servers_[id].entry.state = ServerState::Gone;
+      servers_[id].entry.state = EndpointState::Removed;
       announce(id);
       listed_.erase(id);
       if (random_.chance(0.4)) {
@@ -459,7 +465,7 @@
     SimulatedServer& server = servers_[id];
     server.running = true;
     server.errorShare = 0;
-    server.entry.state = ServerState::Ready;
+    server.entry.state = EndpointState::Ready;
     server.entry.startedAt = now_ + kMillisecond;
     listed_.insert(id);
     announce(id);
@@ -472,7 +478,7 @@
 
   void crashOne() {
     const ServerId id = anyListed();
-    if (servers_[id].entry.state != ServerState::Ready) return;
+    if (servers_[id].entry.state != EndpointState::Ready) return;
     servers_[id].running = false;
     healing_.insert({now_ + random_.delay(3 * kSecond, 25 * kSecond), id});
     scheduleTask(healing_.rbegin()->first, &SimulatedFleet::heal);
@@ -518,7 +524,7 @@
     for (const auto& [proxy, zone] : std::map<ProxyId, int>(proxies_)) {
       if (!random_.chance(0.7)) continue;
       proxies_.erase(proxy);
-      schedule(now_ + random_.delay(0, 300 * kMillisecond), ProxyLeft{proxy});
+      schedule(now_ + random_.delay(0, 300 * kMillisecond), ProxyDisconnected{proxy});
       absent_.insert(proxy);
     }
     scheduleTask(now_ + random_.delay(400 * kMillisecond, 4 * kSecond), &SimulatedFleet::rejoin);
@@ -536,7 +542,7 @@
   void loseSlices() {
     for (int k = 0; k < 4 && deployment_.ownedSlices > 0; ++k) {
       const TableId table = random_.below(deployment_.ownedSlices);
-      if (assigned_.erase(table) > 0) outbox_.emplace_back(SliceCharge{table, false});
+      if (assigned_.erase(table) > 0) outbox_.emplace_back(SliceAssignment{table, false});
     }
     scheduleTask(now_ + random_.delay(1 * kSecond, 15 * kSecond), &SimulatedFleet::regainSlices);
   }
@@ -577,13 +583,13 @@
 
   // The list drops servers that run, and takes them in again later.
   void wrongList() {
-    ListNews news = wholeList();
-    news.entries.resize(news.entries.size() - news.entries.size() / 4);
+    EndpointListUpdate news = wholeList();
+    news.endpoints.resize(news.endpoints.size() - news.endpoints.size() / 4);
     outbox_.emplace_back(std::move(news));
     scheduleTask(now_ + random_.delay(1 * kSecond, 8 * kSecond), &SimulatedFleet::fullList);
   }
   void fullList() { outbox_.emplace_back(wholeList()); }
-  void failList() { outbox_.emplace_back(ListNews{ListMode::Failed, 0, {}}); }
+  void failList() { outbox_.emplace_back(EndpointListUpdate{EndpointListKind::Failed, 0, {}}); }
 
   // Changed settings, once with another number of classes, which the module leaves out.
   void configure() {
@@ -591,9 +597,9 @@
     if (random_.chance(0.3)) {
       changed.classes.pop_back();
     } else {
-      changed.classes[0].aim = settings_.classes[0].aim * 11 / 10;
-      changed.tryAims = random_.between(0.7, 1.3);
-      changed.linesPerSecond = settings_.linesPerSecond * random_.between(0.8, 1.3);
+      changed.classes[0].latencyObjective = settings_.classes[0].latencyObjective * 11 / 10;
+      changed.attemptTimeoutObjectives = random_.between(0.7, 1.3);
+      changed.routesPerSecond = settings_.routesPerSecond * random_.between(0.8, 1.3);
       settings_ = changed;
     }
     outbox_.emplace_back(SettingsChanged{changed});
@@ -602,7 +608,7 @@
   const Deployment deployment_;
   Settings settings_;
   Random random_;
-  Director engine_;
+  DecisionEngine engine_;
   Hash hash_;
   Micros now_ = 0;
   std::map<Micros, Pending> queue_;
@@ -628,41 +634,41 @@
   mutable std::int64_t version_ = 0;
 };
 
-RequestClass requestClass(Micros aim, double worth, Effect effect) {
+RequestClass requestClass(Micros aim, double worth, Idempotency effect) {
   RequestClass requestClass;
-  requestClass.aim = aim;
+  requestClass.latencyObjective = aim;
   requestClass.deadline = 3 * aim;
-  requestClass.worth = worth;
-  requestClass.effect = effect;
-  requestClass.write = effect != Effect::Repeatable;
+  requestClass.priorityWeight = worth;
+  requestClass.idempotency = effect;
+  requestClass.isWrite = effect != Idempotency::Idempotent;
   return requestClass;
 }
 
 Settings sharedSlices() {
   Settings settings;
-  settings.classes = {requestClass(800 * kMillisecond, 1, Effect::Repeatable),
-                      requestClass(1600 * kMillisecond, 6, Effect::ByKey),
-                      requestClass(1200 * kMillisecond, 3, Effect::Once)};
+  settings.classes = {requestClass(800 * kMillisecond, 1, Idempotency::Idempotent),
+                      requestClass(1600 * kMillisecond, 6, Idempotency::WithIdempotencyKey),
+                      requestClass(1200 * kMillisecond, 3, Idempotency::NonIdempotent)};
   settings.supervisors = 3;
   settings.slices = 96;
   settings.proxies = 60;
-  settings.tryAims = 0.8;
-  settings.linesPerSecond = 9000;
-  settings.linesPerMessage = 8;
-  settings.linesWaitingMax = 6000;
+  settings.attemptTimeoutObjectives = 0.8;
+  settings.routesPerSecond = 9000;
+  settings.messageOverheadRoutes = 8;
+  settings.pendingRoutesMax = 6000;
   settings.messagesPerProxyMax = 20;
-  settings.messagesSpan = 10 * kSecond;
-  settings.orderDelay = 300 * kMillisecond;
-  settings.orderDelayMax = 800 * kMillisecond;
-  settings.ordersTold = true;
-  settings.reportEvery = 500 * kMillisecond;
-  settings.bareMax = 5 * kSecond;
+  settings.messageWindow = 10 * kSecond;
+  settings.pushDelay = 300 * kMillisecond;
+  settings.pushDelayMax = 800 * kMillisecond;
+  settings.deliveryReported = true;
+  settings.reportInterval = 500 * kMillisecond;
+  settings.unroutableMax = 5 * kSecond;
   settings.drainGrace = 2 * kSecond;
-  settings.askWithin = 10 * kSecond;
-  settings.startCapacity = 0.15;
-  settings.warmAfter = 16 * kSecond;
+  settings.pollDeadline = 10 * kSecond;
+  settings.initialCapacity = 0.15;
+  settings.slowStartWindow = 16 * kSecond;
   settings.overloadFactor = 2.5;
-  settings.fallAfter = 2 * kSecond;
+  settings.overloadDurationMax = 2 * kSecond;
   return settings;
 }
 
@@ -674,45 +680,45 @@
   deployments.push_back({"SharedSlices", sharedSlices(), 18, 3, 40, 36});
 
   Deployment polled{"PolledAdvisoryList", sharedSlices(), 14, 2, 24, 28};
-  polled.settings.listOnRequest = true;
-  polled.settings.goneIsAdvice = true;
-  polled.settings.listedWeights = true;
-  polled.settings.linesPerSecond = 700;
-  polled.settings.linesWaitingMax = 2400;
+  polled.settings.endpointsOnRequest = true;
+  polled.settings.removalIsAdvisory = true;
+  polled.settings.endpointsHaveWeights = true;
+  polled.settings.routesPerSecond = 700;
+  polled.settings.pendingRoutesMax = 2400;
   polled.settings.slices = 28;
-  polled.settings.levelUnit = LevelUnit::Share;
+  polled.settings.admissionUnit = AdmissionUnit::Ratio;
   deployments.push_back(polled);
 
   Deployment single{"SingleOwnerSlices", sharedSlices(), 12, 2, 16, 24};
-  single.settings.oneOwner = true;
+  single.settings.sliceOwnership = SliceOwnership::SingleOwner;
   single.settings.slices = 48;
   single.settings.lease = 3 * kSecond;
-  single.settings.writeSettle = 700 * kMillisecond;
-  single.settings.levelUnit = LevelUnit::Ignored;
-  single.settings.linesWaitingMax = 60000;
+  single.settings.inFlightWriteMax = 700 * kMillisecond;
+  single.settings.admissionUnit = AdmissionUnit::Unsupported;
+  single.settings.pendingRoutesMax = 60000;
   deployments.push_back(single);
 
   Deployment checked{"HealthChecks", sharedSlices(), 16, 2, 20, 40};
-  checked.settings.probesAllowed = true;
-  checked.settings.ordersTold = false;
+  checked.settings.healthChecksAllowed = true;
+  checked.settings.deliveryReported = false;
   checked.settings.slices = 40;
   checked.firstList = 2 * kSecond;
   checked.settings.proxies = 0;
   checked.settings.messagesPerProxyMax = 12;
-  checked.settings.linesWaitingMax = 1e9;
+  checked.settings.pendingRoutesMax = 1e9;
   deployments.push_back(checked);
 
   Deployment quiet{"LittleTraffic", sharedSlices(), 20, 2, 12, 101};
   quiet.settings.slices = 101;
-  quiet.settings.goneIsAdvice = true;
+  quiet.settings.removalIsAdvisory = true;
   quiet.traffic = 0.04;
   quiet.firstList = 3 * kSecond;
   deployments.push_back(quiet);
 
   Deployment proxies{"ProxyTables", sharedSlices(), 10, 2, 12, 0};
   proxies.settings.slices = 0;
-  proxies.settings.tryAims = 1.5;
-  proxies.settings.ordersTold = false;
+  proxies.settings.attemptTimeoutObjectives = 1.5;
+  proxies.settings.deliveryReported = false;
   deployments.push_back(proxies);
 
   return deployments;
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -19,16 +19,16 @@
     R"("pod_group":3,"state":"DRAINING","capacity_hint":1.5,"boot_ms":1764600000123}]})";
 
 TEST(Catalog, ListIsReadInUnitsOfTheModule) {
-  const ListNews news = parseCatalog(kList, testNames(), "list");
-  EXPECT_EQ(news.mode, ListMode::Full);
+  const EndpointListUpdate news = parseCatalog(kList, testNames(), "list");
+  EXPECT_EQ(news.kind, EndpointListKind::Full);
   EXPECT_EQ(news.version, 41);
-  ASSERT_EQ(news.entries.size(), 1u);
-  const ServerEntry& e = news.entries[0];
+  ASSERT_EQ(news.endpoints.size(), 1u);
+  const Endpoint& e = news.endpoints[0];
   EXPECT_EQ(e.server, "s-5be2a07c");
   EXPECT_EQ(e.zone, 1);
   EXPECT_EQ(e.kind, 1);
   EXPECT_EQ(e.cell, 3);
-  EXPECT_EQ(e.state, ServerState::Draining);
+  EXPECT_EQ(e.state, EndpointState::Draining);
   EXPECT_EQ(e.weight, 1.5);
   EXPECT_EQ(e.startedAt, 1764600000123000);
 }
@@ -95,7 +95,7 @@
       return holds();
     });
   }
-  std::vector<ListNews> lists() const { return seen.all<ListNews>(); }
+  std::vector<EndpointListUpdate> lists() const { return seen.all<EndpointListUpdate>(); }
 };
 
 TEST_F(WithDiscovery, WatchResumesAfterTheCachedListAndTellsChanges) {
@@ -103,21 +103,21 @@
   there.set("s2", "b", "SERVING");
   start(1);
   EXPECT_TRUE(there.requests.empty()) << "nothing is asked before the module wants it";
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
   EXPECT_EQ(there.requests.at(0), "/catalog/members?follow=1&since=1");
-  EXPECT_EQ(lists()[0].mode, ListMode::Delta);
-  ASSERT_EQ(lists()[0].entries.size(), 1u);
-  EXPECT_EQ(lists()[0].entries[0].server, "s2");
+  EXPECT_EQ(lists()[0].kind, EndpointListKind::Delta);
+  ASSERT_EQ(lists()[0].endpoints.size(), 1u);
+  EXPECT_EQ(lists()[0].endpoints[0].server, "s2");
   there.set("s1", "a", "DRAINING");
   ASSERT_TRUE(until([&] { return lists().size() == 2; }));
-  EXPECT_EQ(lists()[1].entries.at(0).state, ServerState::Draining);
+  EXPECT_EQ(lists()[1].endpoints.at(0).state, EndpointState::Draining);
 }
 
 TEST_F(WithDiscovery, ObjectsInPiecesAndEmptyLinesAreOneList) {
   there.set("s1", "a", "SERVING");
   start();
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
   const std::string line =
       "\n"
@@ -130,7 +130,7 @@
     event_base_loop(loop.base.get(), EVLOOP_NONBLOCK);
   }
   ASSERT_TRUE(until([&] { return lists().size() == 3; }));
-  EXPECT_EQ(lists()[1].entries.at(0).server, "s2");
+  EXPECT_EQ(lists()[1].endpoints.at(0).server, "s2");
   EXPECT_EQ(lists()[2].version, 3);
 }
 
@@ -138,46 +138,46 @@
   there.set("s1", "a", "SERVING");
   there.set("s2", "a", "DELETED");
   start(1);
-  ask(FetchList{});
+  ask(PollEndpoints{});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
   EXPECT_EQ(there.requests.at(0), "/catalog/members");
-  EXPECT_EQ(lists()[0].mode, ListMode::Full);
-  EXPECT_EQ(lists()[0].entries.size(), 1u);
+  EXPECT_EQ(lists()[0].kind, EndpointListKind::Full);
+  EXPECT_EQ(lists()[0].endpoints.size(), 1u);
 }
 
 TEST_F(WithDiscovery, FetchBesideAWatchIsOneCallAtATimeAndTheWatchGoesOn) {
   there.set("s1", "a", "SERVING");
   start();
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
-  ask(FetchList{});
+  ask(PollEndpoints{});
   ASSERT_TRUE(until([&] { return there.requests.size() == 3 && lists().size() == 3; }));
   EXPECT_EQ(there.requests[1], "/catalog/members");
   EXPECT_EQ(there.requests[2], "/catalog/members?follow=1&since=1");
-  for (const ListNews& news : lists()) EXPECT_NE(news.mode, ListMode::Failed);
+  for (const EndpointListUpdate& news : lists()) EXPECT_NE(news.kind, EndpointListKind::Failed);
 }
 
 TEST_F(WithDiscovery, RefusalResetAndEndAreOneFailedEventEach) {
   there.set("s1", "a", "SERVING");
   start();
   there.statuses = {503};
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
-  EXPECT_EQ(lists()[0].mode, ListMode::Failed);
+  EXPECT_EQ(lists()[0].kind, EndpointListKind::Failed);
   EXPECT_TRUE(log.has("code=bad-answer (status 503)"));
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 2; }));
-  EXPECT_EQ(lists()[1].mode, ListMode::Full);
+  EXPECT_EQ(lists()[1].kind, EndpointListKind::Full);
   there.endWatches();
   ASSERT_TRUE(until([&] { return lists().size() == 3; }));
-  EXPECT_EQ(lists()[2].mode, ListMode::Failed);
+  EXPECT_EQ(lists()[2].kind, EndpointListKind::Failed);
   EXPECT_TRUE(log.has("code=peer-closed"));
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 4; }));
   there.raw(R"({"rev":2,"all":fal)");
   there.breakWatches();
   ASSERT_TRUE(until([&] { return lists().size() == 5; }));
-  EXPECT_EQ(lists()[4].mode, ListMode::Failed);
+  EXPECT_EQ(lists()[4].kind, EndpointListKind::Failed);
   EXPECT_EQ(log.count(" ended code="), 3u);
 }
 
@@ -188,9 +188,9 @@
                                             Discovery::Limits{});
   }
   for (std::size_t k = 1; k <= 3; ++k) {
-    ask(WatchList{true});
+    ask(WatchEndpoints{true});
     ASSERT_TRUE(until([&] { return lists().size() == k; }));
-    EXPECT_EQ(lists().back().mode, ListMode::Failed);
+    EXPECT_EQ(lists().back().kind, EndpointListKind::Failed);
   }
 }
 
@@ -201,14 +201,14 @@
   Discovery::Limits limits;
   limits.silence = 100000;
   start(0, limits);
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 2; }));
-  EXPECT_EQ(lists()[1].mode, ListMode::Failed);
+  EXPECT_EQ(lists()[1].kind, EndpointListKind::Failed);
   EXPECT_TRUE(log.has("code=silent"));
   there.mute = true;
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 3; }));
-  EXPECT_EQ(lists()[2].mode, ListMode::Failed);
+  EXPECT_EQ(lists()[2].kind, EndpointListKind::Failed);
 }
 
 // Guards against changes that build on a list which is not the one held here.
@@ -216,13 +216,13 @@
   there.rev = 50;
   there.set("s1", "a", "SERVING");
   start(99);
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
-  EXPECT_EQ(lists()[0].mode, ListMode::Failed);
+  EXPECT_EQ(lists()[0].kind, EndpointListKind::Failed);
   EXPECT_TRUE(log.has("code=revision-back"));
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 2; }));
-  EXPECT_EQ(lists()[1].mode, ListMode::Full);
+  EXPECT_EQ(lists()[1].kind, EndpointListKind::Full);
   EXPECT_EQ(there.requests.back(), "/catalog/members?follow=1");
 }
 
@@ -231,13 +231,13 @@
   Discovery::Limits limits;
   limits.line = 1000;
   start(0, limits);
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
   there.raw("{\"rev\":\"x\"}\n");
   ASSERT_TRUE(until([&] { return lists().size() == 2; }));
-  EXPECT_EQ(lists()[1].mode, ListMode::Failed);
+  EXPECT_EQ(lists()[1].kind, EndpointListKind::Failed);
   EXPECT_TRUE(log.has("code=bad-message"));
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 3; }));
   there.raw(std::string(5000, ' '));
   ASSERT_TRUE(until([&] { return lists().size() == 4; }));
@@ -247,9 +247,9 @@
 TEST_F(WithDiscovery, UnwatchEndsTheWatchWithoutAFailure) {
   there.set("s1", "a", "SERVING");
   start();
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
-  ask(WatchList{false});
+  ask(WatchEndpoints{false});
   ASSERT_TRUE(until([&] { return there.watching() == 0; }));
   EXPECT_EQ(lists().size(), 1u);
   EXPECT_TRUE(log.has("code=not-wanted"));
@@ -261,7 +261,7 @@
   standins::Discovery next{loop.base.get()};
   next.set("s1", "a", "SERVING");
   start(1);
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
   next.mute = true;
   discovery->moveTo(next.address());
@@ -277,9 +277,9 @@
   ASSERT_TRUE(until([&] { return next.watching() == 1 && there.watching() == 0; }));
   next.set("s1", "a", "DRAINING");
   ASSERT_TRUE(until([&] { return !lists().empty() && lists().back().version == 3; }));
-  for (const ListNews& news : lists())
-    EXPECT_NE(news.mode, ListMode::Full) << "nothing had to be asked for whole";
-  EXPECT_EQ(lists().back().entries.at(0).state, ServerState::Draining);
+  for (const EndpointListUpdate& news : lists())
+    EXPECT_NE(news.kind, EndpointListKind::Full) << "nothing had to be asked for whole";
+  EXPECT_EQ(lists().back().endpoints.at(0).state, EndpointState::Draining);
   EXPECT_TRUE(log.has("code=moved"));
 }
 
@@ -290,7 +290,7 @@
   standins::Discovery next{loop.base.get()};
   next.set("s1", "a", "SERVING");
   start();
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
   there.set("s2", "a", "SERVING");
   there.set("s2", "a", "DRAINING");
@@ -302,13 +302,13 @@
   next.set("s2", "a", "SERVING");
   next.set("s2", "a", "DRAINING");
   ASSERT_TRUE(until([&] { return next.watching() == 1 && there.watching() == 0; }));
-  for (const ListNews& news : lists()) EXPECT_NE(news.mode, ListMode::Failed);
+  for (const EndpointListUpdate& news : lists()) EXPECT_NE(news.kind, EndpointListKind::Failed);
 }
 
 TEST_F(WithDiscovery, ANewAddressThatRefusesIsDialledUntilItServes) {
   there.set("s1", "a", "SERVING");
   start();
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return lists().size() == 1; }));
   auto next = std::make_unique<standins::Discovery>(loop.base.get());
   const net::Address at = next->address();
@@ -319,10 +319,10 @@
   next = std::make_unique<standins::Discovery>(loop.base.get(), at.host, at.port);
   next->set("s1", "a", "SERVING");
   ASSERT_TRUE(until([&] { return next->watching() == 1 && there.watching() == 0; }));
-  for (const ListNews& news : lists()) EXPECT_NE(news.mode, ListMode::Failed);
+  for (const EndpointListUpdate& news : lists()) EXPECT_NE(news.kind, EndpointListKind::Failed);
   next->endWatches();
-  ASSERT_TRUE(until([&] { return lists().back().mode == ListMode::Failed; }));
-  ask(WatchList{true});
+  ASSERT_TRUE(until([&] { return lists().back().kind == EndpointListKind::Failed; }));
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return next->watching() == 1; })) << "what is asked for goes to the new address";
 }
 
@@ -340,9 +340,9 @@
   limits.connect = 50000;
   discovery =
       std::make_unique<Discovery>(loop.base.get(), full.address, names, 0, exchange, *log.log, limits);
-  ask(WatchList{true});
+  ask(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return log.has("code=connect-timeout"); }));
-  EXPECT_EQ(lists().back().mode, ListMode::Failed);
+  EXPECT_EQ(lists().back().kind, EndpointListKind::Failed);
   for (int fd : fill) close(fd);
 }
 
@@ -360,7 +360,7 @@
   standins::ManualServer hand;
   std::unique_ptr<standins::ManualPeer> peer;
 
-  void begin(Micros silence, Action what = WatchList{true}) {
+  void begin(Micros silence, Action what = WatchEndpoints{true}) {
     Discovery::Limits limits;
     limits.silence = silence;
     discovery.reset();
@@ -369,7 +369,7 @@
     again(std::move(what));
   }
   // Asks, and takes in the connection with the request.
-  void again(Action what = WatchList{true}) {
+  void again(Action what = WatchEndpoints{true}) {
     ask(std::move(what));
     taken();
   }
@@ -380,7 +380,7 @@
       return peer && peer->read().find("\r\n\r\n") != std::string::npos;
     }));
   }
-  bool whole() const { return !lists().empty() && lists().back().mode == ListMode::Full; }
+  bool whole() const { return !lists().empty() && lists().back().kind == EndpointListKind::Full; }
   // Bytes, one after the other, until a failure is told.
   bool drip(const std::string& bytes) {
     Pace pace{20000};
@@ -391,8 +391,9 @@
   }
   std::size_t failures() const {
     const auto all = lists();
-    return static_cast<std::size_t>(
-        std::count_if(all.begin(), all.end(), [](const ListNews& n) { return n.mode == ListMode::Failed; }));
+    return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [](const EndpointListUpdate& n) {
+      return n.kind == EndpointListKind::Failed;
+    }));
   }
 };
 
@@ -429,7 +430,7 @@
 }
 
 TEST_F(DiscoveryByHand, AWholeListThatTricklesIsGivenUp) {
-  begin(150000, FetchList{});
+  begin(150000, PollEndpoints{});
   peer->send("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
   ASSERT_TRUE(drip(" "));
   EXPECT_TRUE(log.has("code=silent")) << log.text;
@@ -524,7 +525,7 @@
     (successorFirst ? successor : old)->reset();
     (successorFirst ? old : successor)->reset();
     ASSERT_TRUE(until([&] { return failures() == 1; }));
-    ask(WatchList{true});
+    ask(WatchEndpoints{true});
     ASSERT_TRUE(until([&] {
       successor = next.accept();
       return successor != nullptr;
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -10,7 +10,7 @@
 
 std::string at(int k) { return "10.1.0." + std::to_string(k) + ":3000"; }
 
-RosterEntry server(int k, ServerState state = ServerState::Ready, Micros startedAt = 0) {
+RosterEntry server(int k, EndpointState state = EndpointState::Ready, Micros startedAt = 0) {
   RosterEntry e;
   e.entry.server = "s-" + std::to_string(k);
   e.entry.state = state;
@@ -23,7 +23,7 @@
   Settings settings;
   Micros now = 1000 * kSecond;
   std::unique_ptr<Membership> m;
-  std::map<ServerId, ServerEntry> heard;  // as the module would hold it
+  std::map<ServerId, Endpoint> heard;  // as the module would hold it
   std::vector<Decision> last;
 
   void start(bool roster, std::vector<RosterEntry> known = {}, std::vector<bool> authority = {false}) {
@@ -36,9 +36,9 @@
     const auto news = m->settle(now);
     if (!news) return false;
     last = news->decisions;
-    if (news->list.mode == ListMode::Full) heard.clear();
-    for (const ServerEntry& e : news->list.entries) {
-      if (e.state == ServerState::Gone)
+    if (news->list.kind == EndpointListKind::Full) heard.clear();
+    for (const Endpoint& e : news->list.endpoints) {
+      if (e.state == EndpointState::Removed)
         heard.erase(e.server);
       else
         heard[e.server] = e;
@@ -77,14 +77,14 @@
     m->observe(answer(std::move(servers), life, Observation::Kind::Partial), now);
     settle();
   }
-  void roster(ListMode mode, std::vector<RosterEntry> entries) {
+  void roster(EndpointListKind mode, std::vector<RosterEntry> entries) {
     m->roster(mode, entries, now);
     settle();
   }
   std::set<std::string> ready() const {
     std::set<std::string> all;
     for (const auto& [id, e] : heard) {
-      if (e.state == ServerState::Ready) all.insert(id);
+      if (e.state == EndpointState::Ready) all.insert(id);
     }
     return all;
   }
@@ -105,13 +105,13 @@
 TEST_F(List, TheRosterAloneIsPassedOnAsItComes) {
   start(true, {server(1)}, {});
   EXPECT_FALSE(settle()) << "nothing was heard yet";
-  roster(ListMode::Delta, {});
+  roster(EndpointListKind::Delta, {});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1"})) << "an empty change is news that the list is fresh";
-  roster(ListMode::Delta, {server(2, ServerState::Ready, 77)});
+  roster(EndpointListKind::Delta, {server(2, EndpointState::Ready, 77)});
   EXPECT_EQ(heard["s-2"].startedAt, 77);
-  roster(ListMode::Delta, {server(1, ServerState::Draining)});
-  EXPECT_EQ(heard["s-1"].state, ServerState::Draining);
-  roster(ListMode::Full, {server(3)});
+  roster(EndpointListKind::Delta, {server(1, EndpointState::Draining)});
+  EXPECT_EQ(heard["s-1"].state, EndpointState::Draining);
+  roster(EndpointListKind::Full, {server(3)});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-3"}));
 }
 
@@ -131,7 +131,7 @@
 // The hard case: an expired record of a server that the roster still reports as running.
 TEST_F(List, AnExpiredRecordOfAServerThatTheRosterRunsKeepsIt) {
   start(true);
-  roster(ListMode::Full, {server(1), server(2)});
+  roster(EndpointListKind::Full, {server(1), server(2)});
   complete({1, 2, 3}, 5 * kSecond);
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1", "s-2", at(3)}));
   pass(3600 * kSecond);
@@ -141,7 +141,7 @@
 
 TEST_F(List, ACompleteAnswerThatLeavesOutWhatTheRosterRunsTakesNothing) {
   start(true);
-  roster(ListMode::Full, {server(1), server(2)});
+  roster(EndpointListKind::Full, {server(1), server(2)});
   complete({1, 2});
   now += kSecond;
   complete({2});
@@ -191,11 +191,11 @@
 
 TEST_F(List, DrainingAndGoneByTheRosterWinAtOnce) {
   start(true);
-  roster(ListMode::Full, {server(1), server(2), server(3)});
+  roster(EndpointListKind::Full, {server(1), server(2), server(3)});
   complete({1, 2, 3});
-  roster(ListMode::Delta, {server(1, ServerState::Draining), server(2, ServerState::Gone)});
+  roster(EndpointListKind::Delta, {server(1, EndpointState::Draining), server(2, EndpointState::Removed)});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-3"}));
-  EXPECT_EQ(heard["s-1"].state, ServerState::Draining);
+  EXPECT_EQ(heard["s-1"].state, EndpointState::Draining);
   now += kSecond;
   complete({1, 2, 3});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-3"}))
@@ -205,9 +205,9 @@
 
 TEST_F(List, WhatTheRosterTookOutComesBackOnceItIsSeenToStartAgain) {
   start(true);
-  roster(ListMode::Full, {server(1), server(2)});
+  roster(EndpointListKind::Full, {server(1), server(2)});
   complete({1, 2});
-  roster(ListMode::Delta, {server(2, ServerState::Gone)});
+  roster(EndpointListKind::Delta, {server(2, EndpointState::Removed)});
   now += kSecond;
   complete({1, 2});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1"}));
@@ -218,18 +218,18 @@
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1", at(2)}));
   EXPECT_EQ(ruleOf(at(2)), Rule::TakenBack);
   EXPECT_EQ(heard[at(2)].startedAt, now) << "cold from then";
-  roster(ListMode::Delta, {server(2, ServerState::Ready, now + 5)});
+  roster(EndpointListKind::Delta, {server(2, EndpointState::Ready, now + 5)});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1", "s-2"})) << "one server under one name";
 }
 
 // A source of records that comes up late lists what the roster took out before: no start was seen.
 TEST_F(List, AFirstAnswerAfterTheRosterTookAServerOutDoesNotBringItBack) {
   start(true);
-  roster(ListMode::Full, {server(1), server(2)});
-  roster(ListMode::Delta, {server(2, ServerState::Draining)});
+  roster(EndpointListKind::Full, {server(1), server(2)});
+  roster(EndpointListKind::Delta, {server(2, EndpointState::Draining)});
   now += kSecond;
   complete({1, 2});
-  roster(ListMode::Delta, {server(2, ServerState::Gone)});
+  roster(EndpointListKind::Delta, {server(2, EndpointState::Removed)});
   now += kSecond;
   complete({1, 2});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1"}));
@@ -247,7 +247,7 @@
 }
 
 TEST_F(List, AListServedAfterARestartDoesNotMakeTheKnownOnesCold) {
-  start(false, {server(1), server(2, ServerState::Ready, 42)});
+  start(false, {server(1), server(2, EndpointState::Ready, 42)});
   complete({1, 2, 3});
   EXPECT_EQ(heard[at(1)].startedAt, 0);
   EXPECT_EQ(heard[at(2)].startedAt, 42);
@@ -317,27 +317,27 @@
   o.seen.push_back(o.seen[0]);
   o.seen[1].name = "other.example.org";
   m->observe(o, now);
-  roster(ListMode::Full, {server(1)});
+  roster(EndpointListKind::Full, {server(1)});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1"}));
 }
 
 TEST_F(List, AServerThatTheRosterNamesLaterChangesItsNameInOneNews) {
   start(true);
-  roster(ListMode::Full, {});
+  roster(EndpointListKind::Full, {});
   complete({1});
   EXPECT_EQ(ready(), (std::set<std::string>{at(1)}));
-  roster(ListMode::Delta, {server(1)});
+  roster(EndpointListKind::Delta, {server(1)});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1"}));
   EXPECT_EQ(last.size(), 2u);
 }
 
 TEST_F(List, AServerOfTheRosterThatMovesKeepsItsName) {
   start(true);
-  roster(ListMode::Full, {server(1)});
+  roster(EndpointListKind::Full, {server(1)});
   complete({1, 2});
   RosterEntry moved = server(1);
   moved.endpoint = at(2);
-  roster(ListMode::Delta, {moved});
+  roster(EndpointListKind::Delta, {moved});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1", at(1)})) << "the old address is records' alone now";
 }
 
@@ -384,22 +384,22 @@
   start(true);
   std::vector<RosterEntry> all;
   for (int k = 0; k < 10; ++k) all.push_back(server(k));
-  roster(ListMode::Full, all);
+  roster(EndpointListKind::Full, all);
   m->observe(tiered(answer(upTo(10), 3600 * kSecond), 6, 20), now);
   settle();
   // Listed before records spoke of tiers: they leave in steps, as the upper tier is whole.
   pass(60 * kSecond);
   EXPECT_EQ(ready().size(), 6u);
-  EXPECT_EQ(heard["s-9"].state, ServerState::Draining);
-  roster(ListMode::Delta,
-         {server(0, ServerState::Draining), server(1, ServerState::Draining), server(2, ServerState::Gone)});
+  EXPECT_EQ(heard["s-9"].state, EndpointState::Draining);
+  roster(EndpointListKind::Delta, {server(0, EndpointState::Draining), server(1, EndpointState::Draining),
+                                   server(2, EndpointState::Removed)});
   EXPECT_EQ(ready().size(), 3u) << "half of the upper tier is left: not below the share";
-  roster(ListMode::Delta, {server(3, ServerState::Draining)});
+  roster(EndpointListKind::Delta, {server(3, EndpointState::Draining)});
   EXPECT_EQ(ready().size(), 6u) << "below it: the lower tier joins at once";
-  roster(ListMode::Delta, {server(3), server(1), server(0)});
+  roster(EndpointListKind::Delta, {server(3), server(1), server(0)});
   pass(60 * kSecond);
   EXPECT_EQ(ready().size(), 5u);
-  EXPECT_EQ(heard["s-9"].state, ServerState::Draining);
+  EXPECT_EQ(heard["s-9"].state, EndpointState::Draining);
 }
 
 TEST_F(List, AStandbyThatWasNeverNeededIsNotListed) {
@@ -419,7 +419,7 @@
 
 TEST_F(List, AServerThatComesAndGoesIsHeldOutWithoutDelayingADrain) {
   start(true);
-  roster(ListMode::Full, {server(1), server(2)});
+  roster(EndpointListKind::Full, {server(1), server(2)});
   complete({1, 2, 3});
   for (int k = 0; k < 3; ++k) {
     now += kSecond;
@@ -430,7 +430,7 @@
   }
   EXPECT_EQ(ready().size(), 2u);
   EXPECT_EQ(ruleOf(at(3)), Rule::FlapHeld);
-  roster(ListMode::Delta, {server(1, ServerState::Draining)});
+  roster(EndpointListKind::Delta, {server(1, EndpointState::Draining)});
   EXPECT_EQ(ready().size(), 1u);
   m->observe(answer({1, 2, 3}, 3600 * kSecond), now);
   pass(settings.flapHold);
@@ -439,7 +439,7 @@
 
 TEST_F(List, AHeldServerIsTakenAtOnceWhenNobodyElseIsLeft) {
   start(true);
-  roster(ListMode::Full, {server(1)});
+  roster(EndpointListKind::Full, {server(1)});
   complete({1, 3});
   for (int k = 0; k < 3; ++k) {
     now += kSecond;
@@ -448,16 +448,16 @@
     complete({1, 3});
   }
   EXPECT_EQ(ready(), (std::set<std::string>{"s-1"}));
-  roster(ListMode::Delta, {server(1, ServerState::Draining)});
+  roster(EndpointListKind::Delta, {server(1, EndpointState::Draining)});
   EXPECT_EQ(ready(), (std::set<std::string>{at(3)}));
 }
 
 // Gone by the roster, back by records: from then on it is theirs, and one of the last like any other.
 TEST_F(List, AServerTakenBackIsKeptAsOneOfTheLast) {
   start(true);
-  roster(ListMode::Full, {server(1)});
+  roster(EndpointListKind::Full, {server(1)});
   complete({1});
-  roster(ListMode::Delta, {server(1, ServerState::Gone)});
+  roster(EndpointListKind::Delta, {server(1, EndpointState::Removed)});
   now += kSecond;
   complete({});
   now += kSecond;
@@ -473,8 +473,8 @@
 // matter.
 TEST_F(List, OneSourceThatSawTheNewStartIsEnough) {
   start(true, {}, {false, false});
-  roster(ListMode::Full, {server(1), server(2)});
-  roster(ListMode::Delta, {server(2, ServerState::Gone)});
+  roster(EndpointListKind::Full, {server(1), server(2)});
+  roster(EndpointListKind::Delta, {server(2, EndpointState::Removed)});
   now += kSecond;
   complete({1});
   now += kSecond;
@@ -536,8 +536,8 @@
   m->wanted();
   const auto news = m->settle(now);
   ASSERT_TRUE(news.has_value());
-  EXPECT_EQ(news->list.mode, ListMode::Full);
-  EXPECT_EQ(news->list.entries.size(), 1u);
+  EXPECT_EQ(news->list.kind, EndpointListKind::Full);
+  EXPECT_EQ(news->list.endpoints.size(), 1u);
 }
 
 TEST_F(List, AbsentServersAreForgotten) {
@@ -557,28 +557,28 @@
 
 TEST_F(List, ADrainByRecordsWithAuthorityWinsOverTheRosterAtOnce) {
   start(true, {}, {true});
-  roster(ListMode::Full, {server(1), server(2)});
+  roster(EndpointListKind::Full, {server(1), server(2)});
   Observation o = answer({1, 2, 3}, 3600 * kSecond);
   m->observe(o, now);
   settle();
   now += kSecond;
   o.asOf = now;
-  o.seen[0].state = ServerState::Draining;
-  o.seen[2].state = ServerState::Draining;
+  o.seen[0].state = EndpointState::Draining;
+  o.seen[2].state = EndpointState::Draining;
   m->observe(o, now);
   settle();
   EXPECT_EQ(ready(), (std::set<std::string>{"s-2"}));
-  EXPECT_EQ(heard["s-1"].state, ServerState::Draining);
-  EXPECT_EQ(heard[at(3)].state, ServerState::Draining);
+  EXPECT_EQ(heard["s-1"].state, EndpointState::Draining);
+  EXPECT_EQ(heard[at(3)].state, EndpointState::Draining);
   EXPECT_EQ(ruleOf("s-1"), Rule::RecordsDraining);
   // A zone that lists it as running again does not undrain it, nor does the roster that never knew.
   now += kSecond;
   m->observe(answer({1, 2, 3}, 3600 * kSecond), now);
   settle();
-  roster(ListMode::Delta, {server(1)});
+  roster(EndpointListKind::Delta, {server(1)});
   EXPECT_EQ(ready(), (std::set<std::string>{"s-2"}));
   // A newer start does, by either source.
-  roster(ListMode::Delta, {server(1, ServerState::Ready, now)});
+  roster(EndpointListKind::Delta, {server(1, EndpointState::Ready, now)});
   now += kSecond;
   o = answer({1, 2, 3}, 3600 * kSecond);
   o.seen[2].startedAt = now;
@@ -590,7 +590,7 @@
 
 TEST_F(List, WhatRecordsWithAuthorityTakeOutIsGoneThoughOthersListIt) {
   start(true, {}, {true, false});
-  roster(ListMode::Full, {server(1), server(2), server(3), server(4)});
+  roster(EndpointListKind::Full, {server(1), server(2), server(3), server(4)});
   complete({1, 2, 3, 4}, 3600 * kSecond);
   Observation other = answer({1, 5}, 3600 * kSecond);
   other.source = 1;
@@ -607,7 +607,7 @@
 
 TEST_F(List, AZoneThatEmptiesAPoolWaitsAndNeverTakesTheLastOne) {
   start(true, {}, {true});
-  roster(ListMode::Full, {server(1), server(2), server(3), server(4)});
+  roster(EndpointListKind::Full, {server(1), server(2), server(3), server(4)});
   complete({1, 2, 3, 4}, 3600 * kSecond);
   now += kSecond;
   complete({});
--- a/tests/membership/property_test.cpp
+++ b/tests/membership/property_test.cpp
@@ -30,7 +30,7 @@
   std::size_t source = 0;
   std::set<int> servers;
   int server = 0;
-  ServerState state = ServerState::Ready;
+  EndpointState state = EndpointState::Ready;
   Micros span = 0;  // of a wait, or a lifetime
   int tier = 0;     // of the odd servers
 };
@@ -59,12 +59,12 @@
                                                 })),
       rc::gen::set(&Step::server, rc::gen::inRange(0, kServers)),
       rc::gen::set(&Step::state,
-                   rc::gen::element(ServerState::Ready, ServerState::Draining, ServerState::Gone)),
+                   rc::gen::element(EndpointState::Ready, EndpointState::Draining, EndpointState::Removed)),
       rc::gen::set(&Step::span, rc::gen::map(rc::gen::inRange(1, 100), [](int s) { return s * kSecond; })),
       rc::gen::set(&Step::tier, tiers ? rc::gen::element(0, 0, 20) : rc::gen::just(0)));
 }
 
-RosterEntry listed(int k, ServerState state, Micros startedAt = 0) {
+RosterEntry listed(int k, EndpointState state, Micros startedAt = 0) {
   RosterEntry e;
   e.entry.server = uid(k);
   e.entry.state = state;
@@ -93,20 +93,20 @@
 // What the module would hold, and what a simple observer knows beside it.
 struct Checker {
   const Settings& settings;
-  std::map<ServerId, ServerEntry> heard;
-  std::map<int, ServerState> roster;             // as it was told last
+  std::map<ServerId, Endpoint> heard;
+  std::map<int, EndpointState> roster;           // as it was told last
   std::map<int, std::set<std::size_t>> leftOut;  // by which complete answers, by number, since it was listed
   std::size_t answers = 0;
 
   std::size_t ready() const {
     std::size_t n = 0;
-    for (const auto& [id, e] : heard) n += e.state == ServerState::Ready;
+    for (const auto& [id, e] : heard) n += e.state == EndpointState::Ready;
     return n;
   }
   void take(const News& news) {
-    if (news.list.mode == ListMode::Full) heard.clear();
-    for (const ServerEntry& e : news.list.entries) {
-      if (e.state == ServerState::Gone)
+    if (news.list.kind == EndpointListKind::Full) heard.clear();
+    for (const Endpoint& e : news.list.endpoints) {
+      if (e.state == EndpointState::Removed)
         heard.erase(e.server);
       else
         heard[e.server] = e;
@@ -116,14 +116,14 @@
     for (int k = 0; k < kServers; ++k) {
       const auto byUid = heard.find(uid(k)), bySpot = heard.find(at(k));
       const auto state = roster.find(k);
-      const bool runs = state != roster.end() && state->second == ServerState::Ready;
-      const bool drains = state != roster.end() && state->second == ServerState::Draining;
+      const bool runs = state != roster.end() && state->second == EndpointState::Ready;
+      const bool drains = state != roster.end() && state->second == EndpointState::Draining;
       RC_ASSERT(byUid == heard.end() || bySpot == heard.end());  // one server, one name
       if (drains) {
         RC_ASSERT(bySpot == heard.end());
-        RC_ASSERT(byUid != heard.end() && byUid->second.state == ServerState::Draining);
+        RC_ASSERT(byUid != heard.end() && byUid->second.state == EndpointState::Draining);
       }
-      if (runs) RC_ASSERT(byUid != heard.end() && byUid->second.state == ServerState::Ready);
+      if (runs) RC_ASSERT(byUid != heard.end() && byUid->second.state == EndpointState::Ready);
       if (state == roster.end()) RC_ASSERT(byUid == heard.end());
     }
     // Every state with an end has a turn by then, and what is explained is what was told.
@@ -142,7 +142,7 @@
   Micros now = 1000 * kSecond;
   Membership m(settings, {false, false}, true, {}, now);
   Checker c{settings, {}, {}, {}, 0};
-  m.roster(ListMode::Full, {}, now);
+  m.roster(EndpointListKind::Full, {}, now);
   c.take(*m.settle(now));
   const auto settle = [&](bool records, bool partial) {
     const std::size_t before = c.ready();
@@ -154,10 +154,10 @@
     std::size_t removed = 0, unconfirmed = 0;
     if (news) {
       for (const Decision& d : news->decisions) {
-        if (d.state != ServerState::Gone) continue;
+        if (d.state != EndpointState::Removed) continue;
         for (int k = 0; k < kServers; ++k) {
           if (d.server != at(k) || d.rule != Rule::Removed) continue;
-          const bool wasReady = c.heard.count(at(k)) != 0 && c.heard.at(at(k)).state == ServerState::Ready;
+          const bool wasReady = c.heard.count(at(k)) != 0 && c.heard.at(at(k)).state == EndpointState::Ready;
           if (!wasReady || bound.count(at(k)) != 0) continue;
           ++removed;
           unconfirmed += c.leftOut[k].size() < 2;
@@ -187,8 +187,8 @@
     wait(kSecond);
     switch (s.what) {
       case Step::RosterOne:
-        m.roster(ListMode::Delta, {listed(s.server, s.state)}, now);
-        if (s.state == ServerState::Gone)
+        m.roster(EndpointListKind::Delta, {listed(s.server, s.state)}, now);
+        if (s.state == EndpointState::Removed)
           c.roster.erase(s.server);
         else
           c.roster[s.server] = s.state;
@@ -198,10 +198,10 @@
         std::vector<RosterEntry> all;
         c.roster.clear();
         for (int k : s.servers) {
-          all.push_back(listed(k, ServerState::Ready));
-          c.roster[k] = ServerState::Ready;
+          all.push_back(listed(k, EndpointState::Ready));
+          c.roster[k] = EndpointState::Ready;
         }
-        m.roster(ListMode::Full, all, now);
+        m.roster(EndpointListKind::Full, all, now);
         settle(false, false);
         break;
       }
@@ -256,13 +256,13 @@
   const Settings settings;
   Micros now = 1000 * kSecond;
   Membership m(settings, {false, false}, true, {}, now);
-  std::map<ServerId, ServerEntry> heard;
+  std::map<ServerId, Endpoint> heard;
   const auto settle = [&] {
     const auto news = m.settle(now);
     if (!news) return;
-    if (news->list.mode == ListMode::Full) heard.clear();
-    for (const ServerEntry& e : news->list.entries) {
-      if (e.state == ServerState::Gone)
+    if (news->list.kind == EndpointListKind::Full) heard.clear();
+    for (const Endpoint& e : news->list.endpoints) {
+      if (e.state == EndpointState::Removed)
         heard.erase(e.server);
       else
         heard[e.server] = e;
@@ -270,12 +270,12 @@
   };
   const auto apply = [&](const Step& s, bool settles = true) {
     if (s.what == Step::RosterOne)
-      m.roster(ListMode::Delta, {listed(s.server, s.state)}, now);
+      m.roster(EndpointListKind::Delta, {listed(s.server, s.state)}, now);
     else if (s.what == Step::Complete || s.what == Step::Partial)
       m.observe(observed(s, now), now);
     if (settles) settle();
   };
-  m.roster(ListMode::Full, {}, now);
+  m.roster(EndpointListKind::Full, {}, now);
   settle();
   for (const Step& s : before) {
     now += kSecond;
@@ -306,7 +306,7 @@
   }
   std::map<ServerId, std::pair<double, Micros>> found;
   for (const auto& [id, e] : heard) {
-    if (e.state == ServerState::Ready) found[id] = {e.weight, e.startedAt};
+    if (e.state == EndpointState::Ready) found[id] = {e.weight, e.startedAt};
   }
   return found;
 }
@@ -349,7 +349,7 @@
   enum What { Zone, Records, Roster, Wait } what = Wait;
   int servers = 0, drained = 0, started = 0;  // sets of bits
   int server = 0;
-  ServerState state = ServerState::Ready;
+  EndpointState state = EndpointState::Ready;
   bool anew = false;  // the roster says that it started now
   Micros span = 0;
 };
@@ -370,7 +370,7 @@
       rc::gen::set(&ZoneStep::started, rc::gen::inRange(0, 1 << kServers)),
       rc::gen::set(&ZoneStep::server, rc::gen::inRange(0, kServers)),
       rc::gen::set(&ZoneStep::state,
-                   rc::gen::element(ServerState::Ready, ServerState::Draining, ServerState::Gone)),
+                   rc::gen::element(EndpointState::Ready, EndpointState::Draining, EndpointState::Removed)),
       rc::gen::set(&ZoneStep::anew, rc::gen::element(true, false)),
       rc::gen::set(&ZoneStep::span,
                    rc::gen::map(rc::gen::inRange(1, 100), [](int s) { return s * kSecond; })));
@@ -383,7 +383,7 @@
     Micros now = 1000 * kSecond;
     Membership m(settings, {true, false}, true, {}, now);
     Checker c{settings, {}, {}, {}, 0};
-    m.roster(ListMode::Full, {}, now);
+    m.roster(EndpointListKind::Full, {}, now);
     c.take(*m.settle(now));
     std::map<int, Micros> drained, rosterStart;
     int before = 0;
@@ -392,9 +392,9 @@
       if (news) c.take(*news);
       for (const auto& [k, since] : drained) {
         const auto bySpot = c.heard.find(at(k)), byUid = c.heard.find(uid(k));
-        RC_ASSERT(bySpot == c.heard.end() || bySpot->second.state != ServerState::Ready);
+        RC_ASSERT(bySpot == c.heard.end() || bySpot->second.state != EndpointState::Ready);
         if (rosterStart[k] <= since)
-          RC_ASSERT(byUid == c.heard.end() || byUid->second.state != ServerState::Ready);
+          RC_ASSERT(byUid == c.heard.end() || byUid->second.state != EndpointState::Ready);
       }
       for (int k = 0; k < kServers; ++k) RC_ASSERT(c.heard.count(at(k)) + c.heard.count(uid(k)) <= 1u);
       RC_ASSERT(m.ready() == c.ready());
@@ -416,12 +416,12 @@
         one.name = "b" + std::to_string(k);
         one.weight = 10;
         one.until = now + 1000 * kSecond;
-        one.state = (s.drained >> k & 1) != 0 ? ServerState::Draining : ServerState::Ready;
+        one.state = (s.drained >> k & 1) != 0 ? EndpointState::Draining : EndpointState::Ready;
         one.startedAt = s.what == ZoneStep::Zone && (s.started >> k & 1) != 0 ? now : 0;
         o.seen.push_back(one);
         if (s.what != ZoneStep::Zone) continue;
         const bool anew = one.startedAt != 0 || (before >> k & 1) == 0;
-        if (one.state == ServerState::Draining)
+        if (one.state == EndpointState::Draining)
           drained.emplace(k, now);
         else if (anew)
           drained.erase(k);
@@ -439,7 +439,7 @@
           break;
         case ZoneStep::Roster:
           if (s.anew) rosterStart[s.server] = now;
-          m.roster(ListMode::Delta, {listed(s.server, s.state, rosterStart[s.server])}, now);
+          m.roster(EndpointListKind::Delta, {listed(s.server, s.state, rosterStart[s.server])}, now);
           break;
         case ZoneStep::Wait: {
           const Micros end = now + s.span;
