--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -17,38 +17,38 @@
 std::string text(const Action& action) { return toOrder(action, testNames())->text; }
 
 TEST(Orders, EachActionHasItsWords) {
-  EXPECT_EQ(text(SetLine{4, "s-5be2a07c", 1.5}), "put,4,s-5be2a07c,1.5");
-  EXPECT_EQ(text(SetLine{4, "s", 0}), "put,4,s,0");
-  EXPECT_EQ(text(SetLine{4, "s", 1e-3}), "put,4,s,0.001");
-  EXPECT_EQ(text(SetLine{4, "s", 1e-7}), "put,4,s,0.0000001") << "no exponent";
+  EXPECT_EQ(text(SetRoute{4, "s-5be2a07c", 1.5}), "put,4,s-5be2a07c,1.5");
+  EXPECT_EQ(text(SetRoute{4, "s", 0}), "put,4,s,0");
+  EXPECT_EQ(text(SetRoute{4, "s", 1e-3}), "put,4,s,0.001");
+  EXPECT_EQ(text(SetRoute{4, "s", 1e-7}), "put,4,s,0.0000001") << "no exponent";
   EXPECT_EQ(text(ClearTable{4}), "wipe,4");
-  EXPECT_EQ(text(Withdraw{"s", true}), "eject,s");
-  EXPECT_EQ(text(Withdraw{"s", false}), "uneject,s");
-  EXPECT_EQ(text(Admit{4, 1, 0.9, SecondTry::AfterProof}), "gate,4,lookup,0.9,1");
-  EXPECT_EQ(text(Admit{kAllTables, 0, 1, SecondTry::Never}), "gate,*,*,1,0");
-  EXPECT_EQ(text(Admit{4, 3, 0.3, SecondTry::AfterAnyFailure}), "gate,4,lookup+order,0.3,2");
-  EXPECT_EQ(text(Mark{905, true}), "fence,905,1");
-  EXPECT_EQ(text(Mark{905, false}), "fence,905,0");
+  EXPECT_EQ(text(SetEjection{"s", EjectionState::Ejected}), "eject,s");
+  EXPECT_EQ(text(SetEjection{"s", EjectionState::Readmitted}), "uneject,s");
+  EXPECT_EQ(text(SetAdmission{4, 1, 0.9, RetryPolicy::IfNotExecuted}), "gate,4,lookup,0.9,1");
+  EXPECT_EQ(text(SetAdmission{kAllTables, 0, 1, RetryPolicy::Never}), "gate,*,*,1,0");
+  EXPECT_EQ(text(SetAdmission{4, 3, 0.3, RetryPolicy::AnyFailure}), "gate,4,lookup+order,0.3,2");
+  EXPECT_EQ(text(AcknowledgementRequest{905, true}), "fence,905,1");
+  EXPECT_EQ(text(AcknowledgementRequest{905, false}), "fence,905,0");
   EXPECT_FALSE(toOrder(Log{"x"}, testNames()).has_value());
 }
 
 TEST(NewsLines, EachKindIsReadInUnitsOfTheModule) {
   const auto news = [](const char* line) { return parseNews(line, testNames(), 100); };
   EXPECT_TRUE(std::holds_alternative<SignOfLife>(news("*")));
-  const auto joined = std::get<ProxyJoined>(news("* attach 17 b 21.5 1"));
+  const auto joined = std::get<ProxyConnected>(news("* attach 17 b 21.5 1"));
   EXPECT_EQ(joined.proxy, 17);
   EXPECT_EQ(joined.zone, 1);
-  EXPECT_EQ(joined.usualRate, 21.5);
-  EXPECT_TRUE(joined.fresh);
-  EXPECT_FALSE(std::get<ProxyJoined>(news("* attach 17 b 21.5 0")).fresh);
-  EXPECT_EQ(std::get<ProxyLeft>(news("* detach 17")).proxy, 17);
-  const auto done = std::get<OrderApplied>(news("* done 17 905 310.4"));
+  EXPECT_EQ(joined.expectedRequestRate, 21.5);
+  EXPECT_TRUE(joined.newIncarnation);
+  EXPECT_FALSE(std::get<ProxyConnected>(news("* attach 17 b 21.5 0")).newIncarnation);
+  EXPECT_EQ(std::get<ProxyDisconnected>(news("* detach 17")).proxy, 17);
+  const auto done = std::get<UpdateAcknowledged>(news("* done 17 905 310.4"));
   EXPECT_EQ(done.proxy, 17);
-  EXPECT_EQ(done.mark, 905);
-  EXPECT_EQ(done.took, 310400);
-  EXPECT_TRUE(std::get<SliceCharge>(news("* owner 88 1")).given);
-  EXPECT_FALSE(std::get<SliceCharge>(news("* owner 88 0")).given);
-  const auto line = std::get<StoredLine>(news("* entry 88 s-5be2a07c 1.0"));
+  EXPECT_EQ(done.updateId, 905);
+  EXPECT_EQ(done.delay, 310400);
+  EXPECT_TRUE(std::get<SliceAssignment>(news("* owner 88 1")).assigned);
+  EXPECT_FALSE(std::get<SliceAssignment>(news("* owner 88 0")).assigned);
+  const auto line = std::get<StoredRoute>(news("* entry 88 s-5be2a07c 1.0"));
   EXPECT_EQ(line.slice, 88);
   EXPECT_EQ(line.server, "s-5be2a07c");
   EXPECT_EQ(line.weight, 1.0);
@@ -102,7 +102,7 @@
 };
 
 TEST_F(CallsTest, OneReplyIsOneCallInSequence) {
-  add({SetLine{1, "s", 1}, SetLine{1, "t", 0}, Mark{7}});
+  add({SetRoute{1, "s", 1}, SetRoute{1, "t", 0}, AcknowledgementRequest{7}});
   EXPECT_EQ(calls.begin(), "APPLY put,1,s,1;put,1,t,0;fence,7,0\r\n");
   EXPECT_FALSE(calls.wants());
   EXPECT_EQ(calls.answered("OK 3"), Calls::Outcome::Taken);
@@ -112,7 +112,7 @@
 
 TEST_F(CallsTest, CallsStayWithinTheirBytes) {
   std::vector<Action> many;
-  for (int k = 0; k < 6000; ++k) many.push_back(SetLine{k, "s-5be2a07c", 1});
+  for (int k = 0; k < 6000; ++k) many.push_back(SetRoute{k, "s-5be2a07c", 1});
   add(many);
   std::size_t count = 0, rounds = 0;
   while (calls.wants()) {
@@ -138,8 +138,8 @@
 
 TEST_F(CallsTest, AReplyIsTakenWithTheLastOfItsCalls) {
   std::vector<Action> many;
-  for (int k = 0; k < 6000; ++k) many.push_back(SetLine{k, "s-5be2a07c", 1});
-  many.push_back(Mark{3});
+  for (int k = 0; k < 6000; ++k) many.push_back(SetRoute{k, "s-5be2a07c", 1});
+  many.push_back(AcknowledgementRequest{3});
   add(many);
   for (int call = 1; call <= 3; ++call) {
     EXPECT_EQ(fate(calls), "") << call;
@@ -151,8 +151,8 @@
 }
 
 TEST_F(CallsTest, AnOrderThatIsNotTakenTwiceIsLeftOutFromThenOn) {
-  const std::vector<Action> reply = {SetLine{1, "s", 1}, SetLine{2, "unknown", 1}, SetLine{3, "s", 1},
-                                     Mark{1}};
+  const std::vector<Action> reply = {SetRoute{1, "s", 1}, SetRoute{2, "unknown", 1}, SetRoute{3, "s", 1},
+                                     AcknowledgementRequest{1}};
   add(reply);
   calls.begin();
   EXPECT_EQ(calls.answered("OK 1"), Calls::Outcome::Halted);
@@ -176,18 +176,18 @@
 // Guards against a spoilt answer that costs orders: the call is in doubt, and its orders are ordered anew.
 TEST_F(CallsTest, AFalseInvalidCostsNoOrder) {
   for (int k = 1; k < Calls::kInvalidMost; ++k) {
-    add({SetLine{1, "s", 1}, Mark{k}});
+    add({SetRoute{1, "s", 1}, AcknowledgementRequest{k}});
     calls.begin();
     EXPECT_EQ(calls.answered("ERR invalid"), Calls::Outcome::Unreadable);
     calls.broken();
     EXPECT_EQ(fate(calls), std::to_string(k) + " missed 1");
   }
-  add({SetLine{1, "s", 1}, Mark{8}});
+  add({SetRoute{1, "s", 1}, AcknowledgementRequest{8}});
   calls.begin();
   EXPECT_EQ(calls.answered("ERR invalid"), Calls::Outcome::Invalid) << "one that never gets another answer";
   EXPECT_EQ(fate(calls), "8 taken 1") << "given up, so that newer ones have their turn";
   for (const char* other : {"ERR conflict", "ERR internal", "OK", "ERR"}) {
-    add({SetLine{1, "s", 2}});
+    add({SetRoute{1, "s", 2}});
     calls.begin();
     EXPECT_EQ(calls.answered(other), Calls::Outcome::Unreadable) << other;
     calls.broken();
@@ -196,21 +196,21 @@
 }
 
 TEST_F(CallsTest, AThrottledCallMadeNoMessage) {
-  add({SetLine{1, "s", 1}, Mark{1}});
+  add({SetRoute{1, "s", 1}, AcknowledgementRequest{1}});
   calls.begin();
   EXPECT_EQ(calls.answered("ERR throttled"), Calls::Outcome::Throttled);
   EXPECT_EQ(fate(calls), "1 missed 0");
 }
 
 TEST_F(CallsTest, ACallInDoubtIsNotRepeatedByItself) {
-  add({SetLine{1, "s", 1}, Mark{1}});
+  add({SetRoute{1, "s", 1}, AcknowledgementRequest{1}});
   calls.begin();
   calls.broken();
   EXPECT_TRUE(calls.missed());
   EXPECT_EQ(fate(calls), "1 missed 1");
   EXPECT_FALSE(calls.wants());
   EXPECT_EQ(calls.doubted().size(), 2u);
-  add({SetLine{1, "s", 2}, Mark{2}});
+  add({SetRoute{1, "s", 2}, AcknowledgementRequest{2}});
   EXPECT_EQ(calls.begin(), "APPLY put,1,s,2;fence,2,0\r\n");
   EXPECT_EQ(calls.doubted().size(), 2u) << "the store may show it still";
   calls.answered("OK 2");
@@ -218,13 +218,13 @@
 }
 
 TEST_F(CallsTest, WhatNeverWentOutMadeNoMessage) {
-  add({SetLine{1, "s", 1}, Mark{1}});
+  add({SetRoute{1, "s", 1}, AcknowledgementRequest{1}});
   calls.broken();  // the dial failed
   EXPECT_EQ(fate(calls), "1 missed 0");
 }
 
 TEST_F(CallsTest, AMarkThatAProxyAppliedSettlesTheDoubt) {
-  add({SetLine{1, "s", 1}, Mark{1}});
+  add({SetRoute{1, "s", 1}, AcknowledgementRequest{1}});
   calls.begin();
   calls.applied(1);
   EXPECT_TRUE(calls.inCall()) << "the answer is still to come";
@@ -238,7 +238,7 @@
 
 TEST_F(CallsTest, AnswersThatCannotBeReadAreSaid) {
   for (const char* answer : {"", "OK", "OK x", "OK 3", "OK -1", "OK 1 2", "\x01\x02", "what"}) {
-    add({SetLine{1, "s", 1}});
+    add({SetRoute{1, "s", 1}});
     calls.begin();
     EXPECT_EQ(calls.answered(answer), Calls::Outcome::Unreadable) << answer;
     calls.broken();
@@ -249,7 +249,7 @@
 TEST_F(CallsTest, WhatWaitsIsBounded) {
   std::vector<Action> many;
   for (std::size_t k = 0; k < kMost + 10; ++k)
-    many.push_back(SetLine{static_cast<TableId>(k % 60000), "s" + std::to_string(k / 60000), 1});
+    many.push_back(SetRoute{static_cast<TableId>(k % 60000), "s" + std::to_string(k / 60000), 1});
   add(many);
   EXPECT_EQ(calls.waiting(), kMost);
   EXPECT_EQ(calls.counts().lost, 10u);
@@ -275,7 +275,7 @@
   read({"* attach 1 a 2 1", "* owner 5 1", "* entry 5 s 1.0", "* owner 6 1", "*"});
   book.settle(events);
   EXPECT_EQ(fresh(), 4u);
-  book.taken(*toOrder(SetLine{5, "t", 0.5}, testNames()));
+  book.taken(*toOrder(SetRoute{5, "t", 0.5}, testNames()));
   book.begin({}, false);
   read({"* attach 1 a 2 0", "* owner 5 1", "* entry 5 s 1.0", "* entry 5 t 0.5", "* owner 6 1", "*"});
   book.settle(events);
@@ -292,9 +292,9 @@
   EXPECT_EQ(fresh(), 1u) << "the new proxy at once";
   book.settle(events);
   ASSERT_EQ(events.size(), 2u);
-  EXPECT_EQ(std::get<ProxyLeft>(events[0]).proxy, 1);
-  EXPECT_EQ(std::get<SliceCharge>(events[1]).slice, 5);
-  EXPECT_FALSE(std::get<SliceCharge>(events[1]).given);
+  EXPECT_EQ(std::get<ProxyDisconnected>(events[0]).proxy, 1);
+  EXPECT_EQ(std::get<SliceAssignment>(events[1]).slice, 5);
+  EXPECT_FALSE(std::get<SliceAssignment>(events[1]).assigned);
 }
 
 // Its stream may never have broken: what waits for it still does.
@@ -310,8 +310,8 @@
   book.settle(events);
   read({"* attach 1 a 2 1"});
   ASSERT_EQ(events.size(), 2u) << "one that joins twice has left between";
-  EXPECT_EQ(std::get<ProxyLeft>(events[0]).proxy, 1);
-  EXPECT_EQ(std::get<ProxyJoined>(events[1]).proxy, 1);
+  EXPECT_EQ(std::get<ProxyDisconnected>(events[0]).proxy, 1);
+  EXPECT_EQ(std::get<ProxyConnected>(events[1]).proxy, 1);
 }
 
 TEST_F(Book, ASliceThatAnotherWroteMeanwhileIsGivenAnew) {
@@ -322,9 +322,9 @@
   book.begin({}, false);
   read({"* owner 5 1", "* entry 5 t 1.0", "*"});
   ASSERT_EQ(events.size(), 3u);
-  EXPECT_FALSE(std::get<SliceCharge>(events[0]).given);
-  EXPECT_TRUE(std::get<SliceCharge>(events[1]).given);
-  EXPECT_EQ(std::get<StoredLine>(events[2]).server, "t");
+  EXPECT_FALSE(std::get<SliceAssignment>(events[0]).assigned);
+  EXPECT_TRUE(std::get<SliceAssignment>(events[1]).assigned);
+  EXPECT_EQ(std::get<StoredRoute>(events[2]).server, "t");
 }
 
 TEST_F(Book, TheStoreSettlesACallInDoubt) {
@@ -332,8 +332,8 @@
   read({"* owner 5 1", "* entry 5 s 1.0", "*"});
   book.settle(events);
   fresh();
-  const std::vector<Order> doubted = {*toOrder(SetLine{5, "t", 1}, testNames()),
-                                      *toOrder(SetLine{5, "s", 0}, testNames())};
+  const std::vector<Order> doubted = {*toOrder(SetRoute{5, "t", 1}, testNames()),
+                                      *toOrder(SetRoute{5, "s", 0}, testNames())};
   book.begin(doubted, true);
   read({"* owner 5 1", "* entry 5 s 1.0", "*"});
   EXPECT_FALSE(book.doubtCarriedOut());
@@ -350,8 +350,8 @@
   read({"* owner 5 1", "* entry 5 s 1.0", "* owner 6 1", "* entry 6 s 1.0", "*"});
   book.settle(events);
   fresh();
-  const Order five = *toOrder(SetLine{5, "t", 1}, testNames()),
-              six = *toOrder(SetLine{6, "t", 1}, testNames());
+  const Order five = *toOrder(SetRoute{5, "t", 1}, testNames()),
+              six = *toOrder(SetRoute{6, "t", 1}, testNames());
   book.begin({}, false);
   book.sent({five});
   book.taken(five);
@@ -377,12 +377,13 @@
     const std::string now = "s" + std::to_string(round), before = "s" + std::to_string(round - 1);
     if (round % 10 == 0) book.begin(calls.doubted(), !calls.doubted().empty());
     for (int p = 0; p < 5; ++p)
-      book.take(ProxyJoined{(round % 2) * 10 + p, 0, 1, true}, events),
-          book.take(ProxyLeft{(1 - round % 2) * 10 + p}, events);
-    if (round == 0) book.take(SliceCharge{7, true}, events);
+      book.take(ProxyConnected{(round % 2) * 10 + p, 0, 1, true}, events),
+          book.take(ProxyDisconnected{(1 - round % 2) * 10 + p}, events);
+    if (round == 0) book.take(SliceAssignment{7, true}, events);
     std::vector<Order> reply;
-    for (const Action& a : std::vector<Action>{SetLine{7, now, 1}, SetLine{7, before, 0},
-                                               Withdraw{before, true}, Withdraw{before, false}, Mark{round}})
+    for (const Action& a : std::vector<Action>{
+             SetRoute{7, now, 1}, SetRoute{7, before, 0}, SetEjection{before, EjectionState::Ejected},
+             SetEjection{before, EjectionState::Readmitted}, AcknowledgementRequest{round}})
       reply.push_back(*toOrder(a, testNames()));
     calls.add(reply);
     calls.begin();
@@ -390,10 +391,10 @@
     calls.answered("OK " + std::to_string(calls.flight().size()));
     calls.tell();
     if (round % 10 == 0) {
-      book.take(SliceCharge{7, true}, events);
-      book.take(StoredLine{7, now, 1}, events);
+      book.take(SliceAssignment{7, true}, events);
+      book.take(StoredRoute{7, now, 1}, events);
       book.settle(events);
-      book.taken(*toOrder(SetLine{7, before, 0}, testNames()));
+      book.taken(*toOrder(SetRoute{7, before, 0}, testNames()));
     }
     events.clear();
     if (round == 50) early = book.records(), earlyCalls = calls.records();
@@ -422,8 +423,8 @@
     exchange.carry(wanted);
   }
   void hear() {
-    for (; told < seen.all<OrdersTold>().size(); ++told) {
-      if (seen.all<OrdersTold>()[told].taken) {
+    for (; told < seen.all<UpdateDelivery>().size(); ++told) {
+      if (seen.all<UpdateDelivery>()[told].outcome == DeliveryOutcome::Accepted) {
         wanted.clear();
       } else {
         ++misses;
@@ -432,7 +433,7 @@
     }
   }
   // What came beside that.
-  std::size_t others() { return seen.events.size() - seen.all<OrdersTold>().size(); }
+  std::size_t others() { return seen.events.size() - seen.all<UpdateDelivery>().size(); }
   void start(Relay::Limits limits = {}) {
     limits.redialMost = 20000;
     relay =
@@ -456,14 +457,14 @@
   there.slices[5] = {{"s", "1.0"}};
   start();
   ASSERT_TRUE(until([&] { return others() == 3; }));
-  EXPECT_EQ(seen.all<ProxyJoined>().at(0).proxy, 17);
-  EXPECT_EQ(seen.all<StoredLine>().at(0).server, "s");
-  give({SetLine{5, "t", 1}, Mark{3}, Log{"not an order"}});
+  EXPECT_EQ(seen.all<ProxyConnected>().at(0).proxy, 17);
+  EXPECT_EQ(seen.all<StoredRoute>().at(0).server, "s");
+  give({SetRoute{5, "t", 1}, AcknowledgementRequest{3}, Log{"not an order"}});
   ASSERT_TRUE(until([&] { return there.orders.size() == 2; }));
   EXPECT_EQ(there.calls.at(0), "put,5,t,1;fence,3,0");
   there.done(17, 3, 12.5);
   ASSERT_TRUE(until([&] { return others() == 4; }));
-  EXPECT_EQ(seen.all<OrderApplied>().at(0).took, 12500);
+  EXPECT_EQ(seen.all<UpdateAcknowledged>().at(0).delay, 12500);
 }
 
 // Guards against a decision on a slice whose lines are still on their way: it looks like one without a table.
@@ -496,7 +497,7 @@
   int k = 0;
   while (k < 200 || !there.faults.empty()) {
     const std::string host = "s" + std::to_string(++k % 3);
-    give({SetLine{7, host, static_cast<double>(k)}, Mark{k}});
+    give({SetRoute{7, host, static_cast<double>(k)}, AcknowledgementRequest{k}});
     last[host] = std::to_string(k);
     ASSERT_TRUE(until([&] { return wanted.empty(); })) << k;
   }
@@ -517,12 +518,12 @@
   start(limits);
   ASSERT_TRUE(untilWatched());
   there.faults = {Fault::Silent};
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return there.orders.size() == 2; }));
   EXPECT_EQ(there.calls, (std::vector<std::string>{"put,7,s,1;fence,1,0", "put,7,s,1;fence,1,0"}));
   EXPECT_TRUE(log.has("calls ended code=no-answer"));
   EXPECT_EQ(misses, 1u);
-  EXPECT_EQ(seen.all<OrdersTold>().at(0).messages, 1) << "it may have been carried out";
+  EXPECT_EQ(seen.all<UpdateDelivery>().at(0).messages, 1) << "it may have been carried out";
 }
 
 // Guards against a supervisor that stood still and takes its own pause for the relay's silence: the answer
@@ -553,7 +554,7 @@
   const int news = accepted();
   readAll(news, "WATCH\r\n");
   ASSERT_EQ(write(news, "OK\r\n", 4), 4);
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   const int calls = accepted();
   readAll(calls, "fence,1,0\r\n");
   ASSERT_EQ(write(calls, "OK 2\r\n", 6), 6);
@@ -576,9 +577,9 @@
     if (order == "fence,1,0") there.done(1, 1, 5);
   };
   there.faults = {Fault::BreakAfter};
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return relay->counts().settled == 1; }));
-  give({SetLine{8, "s", 1}, Mark{2}});
+  give({SetRoute{8, "s", 1}, AcknowledgementRequest{2}});
   ASSERT_TRUE(until([&] { return there.calls.size() == 2; }));
   EXPECT_EQ(there.calls[1], "put,8,s,1;fence,2,0");
 }
@@ -590,7 +591,7 @@
   start(limits);
   ASSERT_TRUE(untilWatched());
   there.faults = {Fault::BreakBefore};
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return there.calls.size() == 1; }));
   there.done(4711, 1, 5);
   ASSERT_TRUE(until([&] { return there.orders.size() == 2; })) << "it is told as missed";
@@ -600,11 +601,11 @@
 TEST_F(WithRelay, AnIdleConnectionThatIsClosedCostsNoOrder) {
   start();
   ASSERT_TRUE(untilWatched());
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return relay->counts().answered == 1; }));
   there.closeCalls();
   ASSERT_TRUE(until([&] { return log.has("calls ended code=idle-closed"); }));
-  give({SetLine{7, "s", 2}, Mark{2}});
+  give({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});
   ASSERT_TRUE(until([&] { return there.orders.size() == 4; }));
   EXPECT_EQ(there.calls.size(), 2u);
 }
@@ -616,7 +617,7 @@
   limits.settleAfter = 0;
   start(limits);
   ASSERT_TRUE(until([&] { return others() == 4; }));
-  give({SetLine{5, "t", 0.5}, Mark{1}});
+  give({SetRoute{5, "t", 0.5}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return there.orders.size() == 2; }));
   for (auto& [id, proxy] : there.proxies) proxy.standing = false;
   there.proxies.erase(1);
@@ -624,9 +625,9 @@
   ASSERT_TRUE(untilWatched(2));
   there.life();
   ASSERT_TRUE(until([&] { return others() == 5; }));
-  EXPECT_EQ(seen.all<ProxyLeft>().at(0).proxy, 1);
-  EXPECT_EQ(seen.all<ProxyJoined>().size(), 2u);
-  EXPECT_EQ(seen.all<SliceCharge>().size(), 1u);
+  EXPECT_EQ(seen.all<ProxyDisconnected>().at(0).proxy, 1);
+  EXPECT_EQ(seen.all<ProxyConnected>().size(), 2u);
+  EXPECT_EQ(seen.all<SliceAssignment>().size(), 1u);
   EXPECT_TRUE(log.has("news ended code=reset"));
 }
 
@@ -643,15 +644,15 @@
 TEST_F(WithRelay, ARelayThatRefusesIsFoundWhenItIsBackAndOrdersHaveWaited) {
   there.refuse(true);
   start();
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(
       until([&] { return log.has("news ended code=refused") && log.has("calls ended code=refused"); }));
-  EXPECT_TRUE(seen.all<OrdersTold>().empty()) << "what is ordered anew is to be as new as the way";
-  wanted = {SetLine{7, "s", 2}, Mark{2}};
+  EXPECT_TRUE(seen.all<UpdateDelivery>().empty()) << "what is ordered anew is to be as new as the way";
+  wanted = {SetRoute{7, "s", 2}, AcknowledgementRequest{2}};
   there.refuse(false);
   ASSERT_TRUE(until([&] { return there.orders.size() == 2; }));
   EXPECT_EQ(there.calls, std::vector<std::string>{"put,7,s,2;fence,2,0"});
-  EXPECT_EQ(seen.all<OrdersTold>().at(0).messages, 0) << "not a byte of it had gone";
+  EXPECT_EQ(seen.all<UpdateDelivery>().at(0).messages, 0) << "not a byte of it had gone";
   ASSERT_TRUE(untilWatched());
 }
 
@@ -672,14 +673,14 @@
   there.faults = {Fault::Invalid};
   start();
   ASSERT_TRUE(untilWatched());
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return wanted.empty(); })) << "no order is lost";
   EXPECT_EQ(there.orders.size(), 2u);
   EXPECT_EQ(there.calls.size(), 2u);
   there.faults = std::deque<Fault>(Calls::kInvalidMost, Fault::Invalid);
-  give({SetLine{7, "s", 2}, Mark{2}});
+  give({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});
   ASSERT_TRUE(until([&] { return log.has("'invalid' again and again, dropped") && wanted.empty(); }));
-  give({SetLine{8, "s", 1}, Mark{3}});
+  give({SetRoute{8, "s", 1}, AcknowledgementRequest{3}});
   ASSERT_TRUE(until([&] { return there.orders.size() == 4; }));
 }
 
@@ -693,8 +694,8 @@
                            "* done 17 99999999999 2", "* done 17 5", "* done 17 5 ?"})
     there.raw(std::string(line) + "\r\n");
   there.done(17, 3, 12.5);
-  ASSERT_TRUE(until([&] { return seen.all<OrderApplied>().size() == 1; }));
-  EXPECT_EQ(seen.all<OrderApplied>()[0].mark, 3);
+  ASSERT_TRUE(until([&] { return seen.all<UpdateAcknowledged>().size() == 1; }));
+  EXPECT_EQ(seen.all<UpdateAcknowledged>()[0].updateId, 3);
   EXPECT_EQ(there.watches, 1);
   EXPECT_EQ(log.count("answers to marks left out"), 3u) << "1, 2 and 4 of 7";
 }
@@ -703,7 +704,7 @@
   there.servers = {"s"};
   start();
   ASSERT_TRUE(untilWatched());
-  give({SetLine{7, "s", 1}, SetLine{7, "stranger", 1}, SetLine{8, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, SetRoute{7, "stranger", 1}, SetRoute{8, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
   EXPECT_EQ(there.calls.back(), "put,7,s,1;put,8,s,1;fence,1,0");
   EXPECT_TRUE(log.has("left out: put,7,stranger,1"));
@@ -719,8 +720,9 @@
   next.refuse(true);
   relay->moveTo(next.address());
   there.attach(3, {"a", 1, false});
-  ASSERT_TRUE(until([&] { return seen.all<ProxyJoined>().size() == 3; })) << "the old news are still heard";
-  give({SetLine{5, "t", 1}, Mark{1}});
+  ASSERT_TRUE(until([&] { return seen.all<ProxyConnected>().size() == 3; }))
+      << "the old news are still heard";
+  give({SetRoute{5, "t", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return log.has("ended code=refused"); }));
   next.proxies = there.proxies;
   next.slices = there.slices;
@@ -728,13 +730,13 @@
   ASSERT_TRUE(until([&] { return next.watches == 1 && there.open() == 0; }));
   next.attach(4, {"a", 1, true});
   next.life();
-  ASSERT_TRUE(until([&] { return seen.all<ProxyJoined>().size() == 4; }));
+  ASSERT_TRUE(until([&] { return seen.all<ProxyConnected>().size() == 4; }));
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
-  give({SetLine{5, "u", 1}, Mark{2}});
+  give({SetRoute{5, "u", 1}, AcknowledgementRequest{2}});
   ASSERT_TRUE(until([&] { return !next.orders.empty() && next.orders.back() == "fence,2,0"; }));
   EXPECT_EQ(next.slices[5].size(), 3u) << "orders that waited go to the new address, none is lost";
-  EXPECT_TRUE(seen.all<ProxyLeft>().empty()) << "who is there has not left";
-  EXPECT_EQ(seen.all<SliceCharge>().size(), 1u) << "no slice is given twice";
+  EXPECT_TRUE(seen.all<ProxyDisconnected>().empty()) << "who is there has not left";
+  EXPECT_EQ(seen.all<SliceAssignment>().size(), 1u) << "no slice is given twice";
   EXPECT_TRUE(log.has("news ended code=moved"));
 }
 
@@ -746,13 +748,13 @@
   there.onOrder = [&](const std::string& order) {
     if (order == "fence,1,0") relay->moveTo(next.address());
   };
-  give({SetLine{5, "t", 1}, Mark{1}});
+  give({SetRoute{5, "t", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
-  give({SetLine{5, "u", 1}, Mark{2}});
+  give({SetRoute{5, "u", 1}, AcknowledgementRequest{2}});
   ASSERT_TRUE(until([&] { return next.watches == 1 && there.orders.size() + next.orders.size() == 4; }));
   EXPECT_EQ(there.orders.at(1), "fence,1,0");
   EXPECT_EQ(misses, 0u);
-  give({SetLine{5, "v", 1}, Mark{3}});
+  give({SetRoute{5, "v", 1}, AcknowledgementRequest{3}});
   ASSERT_TRUE(until([&] { return !next.orders.empty() && next.orders.back() == "fence,3,0"; }));
   ASSERT_TRUE(until([&] { return there.open() == 0; })) << "nothing is left at the old address";
 }
@@ -763,11 +765,11 @@
   start(limits);
   ASSERT_TRUE(untilWatched());
   there.faults = {Fault::Silent};
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(until([&] { return there.calls.size() == 1; }));
   standins::Relay next{loop.base.get()};
   relay->moveTo(next.address());
-  wanted.insert(wanted.begin() + 1, SetLine{8, "s", 1});
+  wanted.insert(wanted.begin() + 1, SetRoute{8, "s", 1});
   there.refuse(true);
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
   EXPECT_EQ(next.calls, std::vector<std::string>{"put,7,s,1;put,8,s,1;fence,1,0"});
@@ -790,7 +792,7 @@
   start();
   ASSERT_TRUE(untilWatched());
   for (int k = 0; k < 50; ++k) {
-    give({SetLine{k, "s", 1}, Mark{k}});
+    give({SetRoute{k, "s", 1}, AcknowledgementRequest{k}});
     ASSERT_TRUE(until([&] { return wanted.empty(); }));
     EXPECT_LE(there.open(), 2u);
   }
@@ -822,7 +824,7 @@
       return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure() << (calls ? calls->read() : "no connection");
   }
-  std::vector<OrdersTold> fates() const { return seen.all<OrdersTold>(); }
+  std::vector<UpdateDelivery> fates() const { return seen.all<UpdateDelivery>(); }
 };
 
 const char kFirst[] = "APPLY put,7,s,1;fence,1,0\r\n", kSecond[] = "APPLY put,7,s,2;fence,2,0\r\n";
@@ -855,13 +857,13 @@
 // and is not read yet. Written there, the call would be in doubt for nothing.
 TEST_F(RelayByHand, ACallIsNotWrittenToAConnectionThatHasJustBeenClosed) {
   begin();
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(called(kFirst));
   calls->send("OK 2\r\n");
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
   for (const bool broken : {false, true}) {
     broken ? calls->reset() : calls->close();
-    give({SetLine{7, "s", 2}, Mark{2}});
+    give({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});
     ASSERT_TRUE(called(kSecond));
     calls->send("OK 2\r\n");
     ASSERT_TRUE(until([&] { return wanted.empty(); }));
@@ -876,18 +878,18 @@
 // by itself.
 TEST_F(RelayByHand, ACallThatCrossesTheCloseIsInDoubtAndToldOnce) {
   begin();
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(called(kFirst));
   calls->send("OK 2\r\n");
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
-  exchange.carry({SetLine{7, "s", 2}, Mark{2}});  // not ordered anew by the test
-  calls->close();                                 // the call is not read: a reset
+  exchange.carry({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});  // not ordered anew by the test
+  calls->close();                                                    // the call is not read: a reset
   std::unique_ptr<standins::ManualPeer> next;
   ASSERT_TRUE(until([&] {
     if (!next) next = hand.accept();
     return fates().size() == 2;
   }));
-  EXPECT_FALSE(fates()[1].taken);
+  EXPECT_EQ(fates()[1].outcome, DeliveryOutcome::Incomplete);
   EXPECT_EQ(fates()[1].messages, 1) << "it may have been carried out";
   EXPECT_EQ(next->read(), "") << "not repeated blindly";
 }
@@ -895,12 +897,12 @@
 // Guards against an answer that comes twice: the second would pass for the answer to the next call.
 TEST_F(RelayByHand, AnAnswerThatComesTwiceIsNotTheAnswerToTheNextCall) {
   begin();
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(called(kFirst));
   calls->send("OK 2\r\n");
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
   calls->send("OK 2\r\n");
-  give({SetLine{7, "s", 2}, Mark{2}});
+  give({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});
   ASSERT_TRUE(called(kSecond)) << "on a connection of its own";
   EXPECT_EQ(fates().size(), 1u) << "not answered yet";
   EXPECT_TRUE(log.has("calls ended code=bad-answer (answer to no call)")) << log.text;
@@ -911,20 +913,20 @@
 
 TEST_F(RelayByHand, AnAnswerThatComesWithTheCloseCounts) {
   begin();
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(called(kFirst));
   calls->send("OK 2\r\n");
   calls->close();
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
   EXPECT_EQ(misses, 0u);
-  EXPECT_TRUE(fates().at(0).taken);
+  EXPECT_EQ(fates().at(0).outcome, DeliveryOutcome::Accepted);
 }
 
 TEST_F(RelayByHand, AnAnswerThatBreaksOffAnywhereIsOneDoubtToldOnce) {
   begin();
   std::size_t told = 0;
   for (const char* part : {"", "O", "OK", "OK ", "OK 2", "OK 2\r"}) {
-    exchange.carry({SetLine{7, "s", 1}, Mark{1}});
+    exchange.carry({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
     ASSERT_TRUE(called(kFirst)) << part;
     calls->send(part);
     calls->close();
@@ -933,7 +935,7 @@
       if (!next) next = hand.accept();
       return fates().size() == told + 1;
     })) << part;
-    EXPECT_FALSE(fates()[told].taken) << part;
+    EXPECT_EQ(fates()[told].outcome, DeliveryOutcome::Incomplete) << part;
     ++told;
     next->reset();
     ASSERT_TRUE(until([&] { return log.count("calls ended code=") == 2 * told; })) << part;
@@ -944,7 +946,7 @@
 // of each kind is left.
 TEST_F(RelayByHand, AMoveThereAndBackAmidACallTellsItsFateOnce) {
   begin();
-  give({SetLine{7, "s", 1}, Mark{1}});
+  give({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
   ASSERT_TRUE(called(kFirst));
   standins::Relay away{loop.base.get()};
   relay->moveTo(away.address());
@@ -959,7 +961,7 @@
   calls->send("OK 2\r\n");
   ASSERT_TRUE(until([&] { return wanted.empty(); }));
   EXPECT_EQ(fates().size(), 1u);
-  give({SetLine{7, "s", 2}, Mark{2}});
+  give({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});
   ASSERT_TRUE(until([&] { return calls->read() == std::string(kFirst) + kSecond; })) << "on the same line";
   EXPECT_EQ(away.watches, 0);
 }
--- a/tests/rules/channel_test.cpp
+++ b/tests/rules/channel_test.cpp
@@ -33,10 +33,10 @@
     const Case& c = GetParam();
     settings.slices = c.slices;
     settings.proxies = c.proxies;
-    settings.ordersTold = true;
-    settings.linesPerSecond = std::max(30000.0, c.slices * c.proxies / 6.0);
-    settings.linesWaitingMax = 1.5 * settings.linesPerSecond;
-    settings.linesPerMessage = 16;
+    settings.deliveryReported = true;
+    settings.routesPerSecond = std::max(30000.0, c.slices * c.proxies / 6.0);
+    settings.pendingRoutesMax = 1.5 * settings.routesPerSecond;
+    settings.messageOverheadRoutes = 16;
     settings.messagesPerProxyMax = 30;
     s = std::make_unique<Scene>(settings, 20, c.seed);
     s->confirming = s->reporting = false;
@@ -44,16 +44,16 @@
 
   // What the relay does with a reply: a message of a head and its lines to each proxy that is there by then.
   void carryOut(const std::vector<Action>& reply) {
-    Message m{settings.linesPerMessage + static_cast<double>(settings.classes.size()), 0, joined};
+    Message m{settings.messageOverheadRoutes + static_cast<double>(settings.classes.size()), 0, joined};
     for (const Action& a : reply) {
-      const auto* admit = std::get_if<Admit>(&a);
+      const auto* admit = std::get_if<SetAdmission>(&a);
       m.lines += admit == nullptr || admit->table != kAllTables;  // levels for all are in the head
-      if (const auto* mark = std::get_if<Mark>(&a)) m.mark = mark->mark;
+      if (const auto* mark = std::get_if<AcknowledgementRequest>(&a)) m.mark = mark->updateId;
     }
     waiting += m.lines * static_cast<double>(m.to.size());
     put(std::move(m));
-    most = std::max(most, waiting / settings.linesWaitingMax);
-    EXPECT_LE(waiting, settings.linesWaitingMax) << "at " << (s->now - start) / kMs << " ms";
+    most = std::max(most, waiting / settings.pendingRoutesMax);
+    EXPECT_LE(waiting, settings.pendingRoutesMax) << "at " << (s->now - start) / kMs << " ms";
   }
   virtual void put(Message m) { channel.push_back(std::move(m)); }
   // Of each reply: answered; in doubt and carried out, or not; not sent for long.
@@ -62,32 +62,34 @@
     for (const Action& a : out) {
       if (!std::holds_alternative<Log>(a) && !std::holds_alternative<SetTimer>(a)) reply.push_back(a);
     }
-    if (reply.empty() || !std::holds_alternative<Mark>(reply.back())) return;
-    const int mark = std::get<Mark>(reply.back()).mark;
+    if (reply.empty() || !std::holds_alternative<AcknowledgementRequest>(reply.back())) return;
+    const int mark = std::get<AcknowledgementRequest>(reply.back()).updateId;
     const bool doubt = likely(broken), carried = !doubt || likely(0.5);
     const Micros sent = (likely(broken) ? pick(6000) : 1 + pick(40)) * kMs;
     if (carried) later(sent, [=] { carryOut(reply); });
-    later(sent + (doubt ? 150 : 3) * kMs, [=] { tell(OrdersTold{mark, !doubt, 1}); });
+    later(sent + (doubt ? 150 : 3) * kMs, [=] {
+      tell(UpdateDelivery{mark, !doubt ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete, 1});
+    });
   }
   void join(ProxyId p) {
     joined.insert(p);
-    later(pick(300) * kMs, [=] { tell(ProxyJoined{p, p % 2, 5, false}); });  // its news come later
+    later(pick(300) * kMs, [=] { tell(ProxyConnected{p, p % 2, 5, false}); });  // its news come later
   }
   virtual void leave(ProxyId p) {
     joined.erase(p);
     for (Message& m : channel) waiting -= m.to.erase(p) > 0 ? m.lines : 0;
-    later(pick(300) * kMs, [=] { tell(ProxyLeft{p}); });
+    later(pick(300) * kMs, [=] { tell(ProxyDisconnected{p}); });
   }
   // Servers drain together, and are back as new ones.
   void drain(int count) {
     for (int k = 0; k < count; ++k) {
       const std::string name = Scene::name(pick(20));
-      ListNews news{ListMode::Delta, 0, {s->list[name]}};
-      news.entries[0].state = ServerState::Draining;
+      EndpointListUpdate news{EndpointListKind::Delta, 0, {s->list[name]}};
+      news.endpoints[0].state = EndpointState::Draining;
       tell(news);
       later(9 * kSecond, [=] {
-        ListNews back{ListMode::Delta, 0, {s->list[name]}};
-        back.entries[0].startedAt = s->now;
+        EndpointListUpdate back{EndpointListKind::Delta, 0, {s->list[name]}};
+        back.endpoints[0].startedAt = s->now;
         tell(back);
       });
     }
@@ -99,7 +101,7 @@
       agenda.erase(agenda.begin());
       what();
     }
-    serve(settings.linesPerSecond / slow * static_cast<double>(span) / kSecond);
+    serve(settings.routesPerSecond / slow * static_cast<double>(span) / kSecond);
     order(s->feed(std::exchange(told, {TimerFired{"sweep"}})));
   }
   virtual void serve(double room) {
@@ -111,7 +113,7 @@
         waiting -= m.lines;
         const int mark = m.mark;
         if (p % 20 != 7)  // some never answer
-          later(100 * kMs + pick(600) * kMs, [=] { tell(OrderApplied{p, mark, kMs}); });
+          later(100 * kMs + pick(600) * kMs, [=] { tell(UpdateAcknowledged{p, mark, kMs}); });
       }
       if (m.to.empty()) channel.pop_front();
     }
@@ -122,7 +124,7 @@
     const Case& c = GetParam();
     std::vector<Event> ev = s->startEvents(c.slices);
     for (Event& e : ev) {  // the proxies are there before their news
-      if (!std::holds_alternative<ProxyJoined>(e)) tell(std::move(e));
+      if (!std::holds_alternative<ProxyConnected>(e)) tell(std::move(e));
     }
     for (int p = 0; p < c.proxies; ++p) join(p);
     step(20 * kMs);
@@ -135,7 +137,8 @@
     for (int k = 0; k < 200; ++k) step(250 * kMs);
     for (int t = 0; t < GetParam().slices; ++t) {
       EXPECT_FALSE(s->tables[t].empty()) << t;
-      for (const auto& [server, w] : s->tables[t]) EXPECT_EQ(s->list[server].state, ServerState::Ready) << t;
+      for (const auto& [server, w] : s->tables[t])
+        EXPECT_EQ(s->list[server].state, EndpointState::Ready) << t;
     }
   }
 
@@ -211,15 +214,15 @@
     copies[p].clear();
     unread.insert(p);
     later(pick(300) * kMs, [=] {
-      if (unread.erase(p) > 0) tell(ProxyLeft{p});
+      if (unread.erase(p) > 0) tell(ProxyDisconnected{p});
     });
   }
   void comeBack(ProxyId p) {
     joined.insert(p);
     later(pick(300) * kMs, [=, stream = streams[p]] {
       if (streams[p] != stream) return;
-      if (unread.erase(p) > 0) tell(ProxyLeft{p}), ++crossed;
-      tell(ProxyJoined{p, p % 2, 5, true});
+      if (unread.erase(p) > 0) tell(ProxyDisconnected{p}), ++crossed;
+      tell(ProxyConnected{p, p % 2, 5, true});
       known[p] = stream;
     });
   }
@@ -230,7 +233,8 @@
         waiting -= waits.front().lines;
         if (p % 20 == 7) continue;  // some never answer
         later(100 * kMs + pick(600) * kMs, [this, c = waits.front()] {
-          if (streams[c.to] == c.stream && known[c.to] == c.stream) tell(OrderApplied{c.to, c.mark, kMs});
+          if (streams[c.to] == c.stream && known[c.to] == c.stream)
+            tell(UpdateAcknowledged{c.to, c.mark, kMs});
         });
       }
     }
--- a/tests/rules/failback_test.cpp
+++ b/tests/rules/failback_test.cpp
@@ -62,13 +62,14 @@
       for (const Scene& s : all) {
         for (int t = 0; t < kSlices; ++t) sent += s.home(t) == name ? s.rates.at({t, 0}) : 0;
       }
-      const double age = static_cast<double>(all[0].now - started) / static_cast<double>(settings.warmAfter);
-      const double warmth = settings.startCapacity + (1 - settings.startCapacity) * std::min(1.0, age);
+      const double age =
+          static_cast<double>(all[0].now - started) / static_cast<double>(settings.slowStartWindow);
+      const double warmth = settings.initialCapacity + (1 - settings.initialCapacity) * std::min(1.0, age);
       auto& span = over[name];
       span.push_back(sent / (warmth * even));
-      if (span.size() > static_cast<std::size_t>(settings.fallAfter / kStep)) span.pop_front();
+      if (span.size() > static_cast<std::size_t>(settings.overloadDurationMax / kStep)) span.pop_front();
       double mean = 0;
-      for (const double part : span) mean += part * kStep / settings.fallAfter;
+      for (const double part : span) mean += part * kStep / settings.overloadDurationMax;
       most = std::max(most, mean);
       EXPECT_LE(mean, settings.overloadFactor) << name << " at " << (all[0].now - started) / kMs << " ms";
     }
@@ -77,7 +78,7 @@
     for (int k = 0; k < count; ++k) {
       const std::string name = Scene::name(static_cast<int>(kServers + cold.size()));
       cold[name] = all[0].now - (300 + pick(2500)) * kMs;
-      for (Scene& s : all) s.tell(name, ServerState::Ready, cold[name]);
+      for (Scene& s : all) s.tell(name, EndpointState::Ready, cold[name]);
     }
   }
 
@@ -99,7 +100,7 @@
     startCold(1 + pick(2));
     for (int k = pick(8); k > 0; --k) step();
     for (int n = 1 + pick(2); n > 0; --n, ++drained) {
-      for (Scene& s : all) s.tell(Scene::name(drained), ServerState::Draining);
+      for (Scene& s : all) s.tell(Scene::name(drained), EndpointState::Draining);
     }
     for (int k = pick(20); k > 0; --k) step();
   }
--- a/tests/rules/pairs_test.cpp
+++ b/tests/rules/pairs_test.cpp
@@ -41,27 +41,27 @@
     {"MissingReports", [](Scene& s) { s.reporting = false; }},
     {"LostStreams",
      [](Scene& s) {
-       s.feed({ProxyLeft{0}, ProxyLeft{1}});
+       s.feed({ProxyDisconnected{0}, ProxyDisconnected{1}});
        s.run(kSecond);
-       s.feed({ProxyJoined{0, 0, 5, false}, ProxyJoined{1, 1, 5, false}});
+       s.feed({ProxyConnected{0, 0, 5, false}, ProxyConnected{1, 1, 5, false}});
      }},
     {"BackWithAnOldList", [](Scene& s) { s.restartWith(s.oldList); }},
-    {"ServerBackCold", [](Scene& s) { s.tell("s_d", ServerState::Ready, s.now - 400 * kMs); }},
-    {"ServerGone", [](Scene& s) { s.tell("s_f", ServerState::Gone); }},
+    {"ServerBackCold", [](Scene& s) { s.tell("s_d", EndpointState::Ready, s.now - 400 * kMs); }},
+    {"ServerGone", [](Scene& s) { s.tell("s_f", EndpointState::Removed); }},
     {"SlicesChangeHands",
      [](Scene& s) {
        std::vector<Event> ev;
-       for (int t = 0; t < 4; ++t) ev.push_back(SliceCharge{t, false});
+       for (int t = 0; t < 4; ++t) ev.push_back(SliceAssignment{t, false});
        for (int t = 18; t < 22; ++t) {
-         ev.push_back(SliceCharge{t, true});
-         ev.push_back(StoredLine{t, "s_d", 1});
+         ev.push_back(SliceAssignment{t, true});
+         ev.push_back(StoredRoute{t, "s_d", 1});
          s.tables[t] = {{"s_d", 1}};
        }
        s.feed(ev);
      }},
     {"ListFails",
      [](Scene& s) {
-       s.feed({ListNews{ListMode::Failed, 0, {}}});
+       s.feed({EndpointListUpdate{EndpointListKind::Failed, 0, {}}});
      }},
 };
 constexpr int kKinds = sizeof kTroubles / sizeof kTroubles[0];
@@ -81,24 +81,24 @@
   Scene s(settings, 6);
   s.start(18);
   s.run(8 * kSecond);
-  s.oldList = s.news(ListMode::Cached);
+  s.oldList = s.news(EndpointListKind::Cached);
   kTroubles[a].begin(s);
-  s.tell("s_e", ServerState::Draining);
+  s.tell("s_e", EndpointState::Draining);
   s.run(kSecond);
   kTroubles[b].begin(s);
-  s.feed({s.news(ListMode::Full)});
-  s.run(settings.drainGrace - settings.orderDelayMax);
+  s.feed({s.news(EndpointListKind::Full)});
+  s.run(settings.drainGrace - settings.pushDelayMax);
   for (int t : s.charge) EXPECT_EQ(s.tables[t].count("s_e"), 0u) << "drain not kept, slice " << t;
   s.run(20 * kSecond);
   for (int t : s.charge) {
     ASSERT_FALSE(s.tables[t].empty()) << "bare, slice " << t;
     ASSERT_EQ(s.list.count(s.home(t)), 1u) << "on a server that is gone, slice " << t;
-    EXPECT_EQ(s.list[s.home(t)].state, ServerState::Ready) << "slice " << t;
+    EXPECT_EQ(s.list[s.home(t)].state, EndpointState::Ready) << "slice " << t;
   }
   EXPECT_TRUE(s.strayOrders.empty()) << "orders for a slice not in charge, first " << *s.strayOrders.begin();
   for (Micros at : s.messagesAt) {
     int within = 0;
-    for (Micros other : s.messagesAt) within += other >= at && other < at + settings.messagesSpan;
+    for (Micros other : s.messagesAt) within += other >= at && other < at + settings.messageWindow;
     EXPECT_LE(within, settings.messagesPerProxyMax);
   }
 }
@@ -109,8 +109,8 @@
 // goes.
 TEST_P(Pairs, KeepTheRulesOnASlowChannel) {
   Settings settings = plainSettings();
-  settings.linesPerSecond = 1500;
-  settings.linesWaitingMax = 1500;
+  settings.routesPerSecond = 1500;
+  settings.pendingRoutesMax = 1500;
   playPair(GetParam().first, GetParam().second, settings);
 }
 
@@ -125,7 +125,7 @@
     s.start(18);
     s.run(5 * kSecond);
     for (const Trouble& t : kTroubles) {
-      s.oldList = s.news(ListMode::Cached);
+      s.oldList = s.news(EndpointListKind::Cached);
       t.begin(s);
       s.run(kSecond);
     }
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -40,7 +40,7 @@
 
 TEST(Start, NoStandbyWhereASliceHasOneOwner) {
   Settings settings = plainSettings();
-  settings.oneOwner = true;
+  settings.sliceOwnership = SliceOwnership::SingleOwner;
   Scene s(settings);
   s.start(8);
   s.run(5 * kSecond);
@@ -49,24 +49,24 @@
 
 TEST(Start, AnOldListDoesNotEmptyServersItDoesNotKnow) {
   Settings settings = plainSettings();
-  settings.listOnRequest = true;
+  settings.endpointsOnRequest = true;
   Scene s(settings);
   std::vector<Event> ev;
-  ListNews old;
-  old.mode = ListMode::Cached;
-  old.entries = {s.list["s_a"], s.list["s_b"]};
+  EndpointListUpdate old;
+  old.kind = EndpointListKind::Cached;
+  old.endpoints = {s.list["s_a"], s.list["s_b"]};
   ev.push_back(old);
-  ev.push_back(ProxyJoined{0, 0, 5, true});
+  ev.push_back(ProxyConnected{0, 0, 5, true});
   for (int t = 0; t < 4; ++t) {
-    ev.push_back(SliceCharge{t, true});
-    ev.push_back(StoredLine{t, Scene::name(t), 1});
+    ev.push_back(SliceAssignment{t, true});
+    ev.push_back(StoredRoute{t, Scene::name(t), 1});
     s.tables[t] = {{Scene::name(t), 1}};
   }
   s.feed(ev);
   s.run(2 * kSecond);
   for (int t = 0; t < 4; ++t) EXPECT_EQ(s.home(t), Scene::name(t));
   s.list.erase("s_d");
-  s.feed({s.news(ListMode::Full)});  // a fresh list without s_d: it is gone
+  s.feed({s.news(EndpointListKind::Full)});  // a fresh list without s_d: it is gone
   EXPECT_NE(s.home(3), "s_d");
 }
 
@@ -74,10 +74,10 @@
   Scene s;
   s.start(8);
   s.run(2 * kSecond);
-  s.feed({SliceCharge{0, false}});
-  const auto out = s.tell("s_a", ServerState::Draining);
+  s.feed({SliceAssignment{0, false}});
+  const auto out = s.tell("s_a", EndpointState::Draining);
   for (const Action& a : out) {
-    const auto* line = std::get_if<SetLine>(&a);
+    const auto* line = std::get_if<SetRoute>(&a);
     EXPECT_TRUE(line == nullptr || line->table != 0);
   }
   EXPECT_NE(s.home(4), "s_a");
@@ -91,7 +91,7 @@
     s.run(5 * kSecond);
     s.latency["s_b"] = 900 * kMs;
     s.run(10 * kSecond);
-    s.tell("s_c", ServerState::Gone);
+    s.tell("s_c", EndpointState::Removed);
     s.run(5 * kSecond);
     return std::make_pair(s.tables, s.logs);
   };
@@ -106,12 +106,12 @@
   s.rates[{7, 0}] = 2;
   s.start(8);
   s.run(8 * kSecond);
-  s.feed({SliceCharge{9, true}});
+  s.feed({SliceAssignment{9, true}});
   EXPECT_EQ(s.home(9), "s_d");
 }
 
 TEST(Placement, DrainingAndGoneServersAreLeftInTheSameReply) {
-  for (const ServerState state : {ServerState::Draining, ServerState::Gone}) {
+  for (const EndpointState state : {EndpointState::Draining, EndpointState::Removed}) {
     Scene s;
     s.start(8);
     s.run(8 * kSecond);
@@ -124,7 +124,7 @@
   Scene s;
   s.start(12);  // three slices a server
   s.run(8 * kSecond);
-  s.tell("s_a", ServerState::Gone);
+  s.tell("s_a", EndpointState::Removed);
   EXPECT_EQ(s.homesAt("s_b"), 4);
   EXPECT_EQ(s.homesAt("s_c"), 4);
   EXPECT_EQ(s.homesAt("s_d"), 4);
@@ -141,7 +141,7 @@
   s.start(24);
   s.run(8 * kSecond);
   const int before = s.homesAt("s_b");
-  s.tell("s_a", ServerState::Draining);
+  s.tell("s_a", EndpointState::Draining);
   s.run(2 * kSecond);
   EXPECT_EQ(s.homesAt("s_a"), 0);
   EXPECT_LE(s.homesAt("s_b"), before);
@@ -153,8 +153,8 @@
   s.run(8 * kSecond);
   std::vector<Event> ev;
   for (int t = 12; t < 20; ++t) {
-    ev.push_back(SliceCharge{t, true});
-    ev.push_back(StoredLine{t, "s_gone", 1});
+    ev.push_back(SliceAssignment{t, true});
+    ev.push_back(StoredRoute{t, "s_gone", 1});
     s.tables[t] = {{"s_gone", 1}};
   }
   s.feed(ev);
@@ -163,12 +163,12 @@
 
 TEST(Placement, HeavierListedServersTakeMore) {
   Settings settings = plainSettings();
-  settings.listedWeights = true;
+  settings.endpointsHaveWeights = true;
   Scene s(settings);
   s.list["s_d"].weight = 4;
   s.start(8);
   s.run(8 * kSecond);
-  s.tell("s_a", ServerState::Gone);
+  s.tell("s_a", EndpointState::Removed);
   EXPECT_EQ(s.homesAt("s_d"), 4);
 }
 
@@ -176,7 +176,7 @@
   Scene s;
   s.start(12);
   s.run(8 * kSecond);
-  s.tell("s_b", ServerState::Ready, s.now - 500 * kMs);
+  s.tell("s_b", EndpointState::Ready, s.now - 500 * kMs);
   EXPECT_EQ(s.homesAt("s_b"), 0);
   EXPECT_EQ(s.count("restarted"), 3);
 }
@@ -186,10 +186,10 @@
   s.start(12);
   s.run(8 * kSecond);
   const Micros at = s.now - 500 * kMs;
-  s.tell("s_b", ServerState::Ready, at);
+  s.tell("s_b", EndpointState::Ready, at);
   s.run(kSecond);
   const int moved = s.count("restarted");
-  s.tell("s_b", ServerState::Ready, at);
+  s.tell("s_b", EndpointState::Ready, at);
   EXPECT_EQ(s.count("restarted"), moved);
 }
 
@@ -197,7 +197,7 @@
   Scene s;
   s.start(16);
   s.run(8 * kSecond);
-  s.tell("s_b", ServerState::Ready, s.now - 500 * kMs);
+  s.tell("s_b", EndpointState::Ready, s.now - 500 * kMs);
   s.run(kSecond);
   EXPECT_EQ(s.homesAt("s_b"), 0);
   s.run(2 * kSecond);
@@ -216,10 +216,10 @@
   Scene s(settings, 12);
   s.start(24);
   s.run(12 * kSecond);
-  for (int i = 4; i < 12; ++i) s.tell(Scene::name(i), ServerState::Draining);
+  for (int i = 4; i < 12; ++i) s.tell(Scene::name(i), EndpointState::Draining);
   s.run(2 * kSecond);
-  for (int i = 4; i < 12; ++i) s.tell(Scene::name(i), ServerState::Gone);
-  for (int i = 12; i < 20; ++i) s.tell(Scene::name(i), ServerState::Ready, s.now - 500 * kMs);
+  for (int i = 4; i < 12; ++i) s.tell(Scene::name(i), EndpointState::Removed);
+  for (int i = 12; i < 20; ++i) s.tell(Scene::name(i), EndpointState::Ready, s.now - 500 * kMs);
   s.run(30 * kSecond);
   int used = 0, held = 0;
   for (int i = 12; i < 20; ++i) used += s.homesAt(Scene::name(i)) > 0, held += s.homesAt(Scene::name(i));
@@ -232,17 +232,17 @@
 // went last, after levels and moves that never end in overload.
 TEST(Placement, WhatIsBackIsLetInBeforeLevelsAndMovesAreThrough) {
   Settings settings = plainSettings();
-  settings.linesPerSecond = 60;  // some twenty lines a second to each of three proxies
-  settings.linesWaitingMax = 120;
+  settings.routesPerSecond = 60;  // some twenty lines a second to each of three proxies
+  settings.pendingRoutesMax = 120;
   settings.messagesPerProxyMax = 0;
   Scene s(settings, 12);
   s.start(48);
   s.run(12 * kSecond);
-  for (int i = 0; i < 4; ++i) s.tell(Scene::name(i), ServerState::Gone);
+  for (int i = 0; i < 4; ++i) s.tell(Scene::name(i), EndpointState::Removed);
   s.run(500 * kMs);
   ASSERT_EQ(s.withdrawn.size(), 4u);
   for (int i = 4; i < 12; ++i) s.latency[Scene::name(i)] = 1500 * kMs;  // the rest drown
-  for (int i = 0; i < 4; ++i) s.tell(Scene::name(i), ServerState::Ready, s.now - 500 * kMs);
+  for (int i = 0; i < 4; ++i) s.tell(Scene::name(i), EndpointState::Ready, s.now - 500 * kMs);
   s.run(2 * kSecond);
   EXPECT_TRUE(s.withdrawn.empty()) << s.withdrawn.size();
 }
@@ -253,11 +253,11 @@
 TEST(Placement, AColdServerHeardAtEaseIsFilledBeyondItsLeast) {
   const auto held = [](Micros latency) {
     Settings settings = plainSettings();
-    settings.warmAfter = 40 * kSecond;
+    settings.slowStartWindow = 40 * kSecond;
     Scene s(settings, 3);
     s.start(24);
     s.run(12 * kSecond);
-    for (const char* id : {"s_x", "s_y", "s_z"}) s.tell(id, ServerState::Ready, s.now - 500 * kMs);
+    for (const char* id : {"s_x", "s_y", "s_z"}) s.tell(id, EndpointState::Ready, s.now - 500 * kMs);
     for (const char* id : {"s_x", "s_y", "s_z"}) s.latency[id] = latency;
     s.run(24 * kSecond);
     return s.homesAt("s_x") + s.homesAt("s_y") + s.homesAt("s_z");
@@ -279,8 +279,8 @@
     all[k].run(12 * kSecond);
   }
   for (Scene& s : all) {
-    for (int i = 6; i < 12; ++i) s.tell(Scene::name(i), ServerState::Gone);
-    for (int i = 12; i < 18; ++i) s.tell(Scene::name(i), ServerState::Ready, s.now - 500 * kMs);
+    for (int i = 6; i < 12; ++i) s.tell(Scene::name(i), EndpointState::Removed);
+    for (int i = 12; i < 18; ++i) s.tell(Scene::name(i), EndpointState::Ready, s.now - 500 * kMs);
   }
   const auto most = [&] {
     int n = 0;
@@ -316,8 +316,8 @@
   double even = 0;  // requests a second of one server
   for (Scene& s : all) {
     for (int t = 0; t < 24; ++t) even += (t < 5 ? 50.0 : 10.0) / 12;
-    s.tell("s_z", ServerState::Ready, s.now - 2100 * kMs);
-    for (int i = 0; i < 5; ++i) s.tell(Scene::name(i), ServerState::Draining);
+    s.tell("s_z", EndpointState::Ready, s.now - 2100 * kMs);
+    for (int i = 0; i < 5; ++i) s.tell(Scene::name(i), EndpointState::Draining);
   }
   for (int step = 0; step < 40; ++step) {
     double there = 0;
@@ -344,8 +344,8 @@
   double let = 0;
   for (int t = 0; t < 24; ++t) let += (s.levels.count({t, 0}) > 0 ? s.levels[{t, 0}] : 1) / 24;
   ASSERT_LT(let, 0.6);
-  for (const char* id : {"s_x", "s_y", "s_z"}) s.tell(id, ServerState::Ready, s.now - 3 * kSecond);
-  for (int i = 0; i < 3; ++i) s.tell(Scene::name(i), ServerState::Draining);
+  for (const char* id : {"s_x", "s_y", "s_z"}) s.tell(id, EndpointState::Ready, s.now - 3 * kSecond);
+  for (int i = 0; i < 3; ++i) s.tell(Scene::name(i), EndpointState::Draining);
   EXPECT_GE(s.homesAt("s_x") + s.homesAt("s_y") + s.homesAt("s_z"), 3);
 }
 
@@ -360,8 +360,8 @@
   s.bad("s_a", 1);
   s.run(4 * kSecond);
   ASSERT_EQ(s.homesAt("s_a"), 0);
-  for (const char* id : {"s_x", "s_y"}) s.tell(id, ServerState::Ready, s.now - 3 * kSecond);
-  for (const char* id : {"s_b", "s_c", "s_d"}) s.tell(id, ServerState::Draining);
+  for (const char* id : {"s_x", "s_y"}) s.tell(id, EndpointState::Ready, s.now - 3 * kSecond);
+  for (const char* id : {"s_b", "s_c", "s_d"}) s.tell(id, EndpointState::Draining);
   s.run(kSecond);
   EXPECT_EQ(s.count(" to s_a from"), 0);
   EXPECT_EQ(s.homesAt("s_x") + s.homesAt("s_y"), 24);
@@ -371,7 +371,7 @@
   Scene s(plainSettings(), 1);
   s.start(4);
   s.run(2 * kSecond);
-  s.tell("s_a", ServerState::Draining);
+  s.tell("s_a", EndpointState::Draining);
   for (int t = 0; t < 4; ++t) EXPECT_EQ(s.home(t), "s_a");
 }
 
@@ -380,15 +380,15 @@
 TEST(Start, WhereChangesArePushedAnOldListThatNothingChangesHolds) {
   Scene s;
   std::vector<Event> ev;
-  ListNews old;
-  old.mode = ListMode::Cached;
-  old.entries = {s.list["s_a"], s.list["s_b"]};
+  EndpointListUpdate old;
+  old.kind = EndpointListKind::Cached;
+  old.endpoints = {s.list["s_a"], s.list["s_b"]};
   ev.push_back(old);
-  ev.push_back(ProxyJoined{0, 0, 5, false});
+  ev.push_back(ProxyConnected{0, 0, 5, false});
   for (int t = 0; t < 4; ++t) {
-    ev.push_back(SliceCharge{t, true});
-    ev.push_back(StoredLine{t, "s_a", 1});
-    ev.push_back(StoredLine{t, "s_d", 0.001});
+    ev.push_back(SliceAssignment{t, true});
+    ev.push_back(StoredRoute{t, "s_a", 1});
+    ev.push_back(StoredRoute{t, "s_d", 0.001});
     s.tables[t] = {{"s_a", 1}, {"s_d", 0.001}};
   }
   s.feed(ev);
@@ -400,7 +400,7 @@
 
 Settings adviceSettings() {
   Settings settings = plainSettings();
-  settings.goneIsAdvice = true;
+  settings.removalIsAdvisory = true;
   return settings;
 }
 
@@ -412,11 +412,11 @@
   const auto before = s.tables;
   const auto truth = s.list;
   for (int i = 0; i < 5; ++i) s.list.erase(Scene::name(i));
-  s.feed({s.news(ListMode::Full)});
+  s.feed({s.news(EndpointListKind::Full)});
   s.run(10 * kSecond);
   EXPECT_EQ(s.tables, before);
   s.list = truth;  // and its return moves nothing either
-  s.feed({s.news(ListMode::Full)});
+  s.feed({s.news(EndpointListKind::Full)});
   s.run(5 * kSecond);
   EXPECT_EQ(s.tables, before);
 }
@@ -425,7 +425,7 @@
   Scene s(plainSettings(), 6);
   s.start(24);
   s.run(8 * kSecond);
-  s.tell("s_a", ServerState::Gone);
+  s.tell("s_a", EndpointState::Removed);
   EXPECT_EQ(s.homesAt("s_a"), 0);
 }
 
@@ -435,7 +435,7 @@
   s.run(8 * kSecond);
   for (int i = 0; i < 3; ++i) s.bad(Scene::name(i), 1);  // half the fleet: relative to it none fails
   for (int i = 0; i < 3; ++i) s.list.erase(Scene::name(i));
-  s.feed({s.news(ListMode::Full)});
+  s.feed({s.news(EndpointListKind::Full)});
   s.run(8 * kSecond);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(s.homesAt(Scene::name(i)), 0) << i;
 }
@@ -444,8 +444,8 @@
   Scene s(adviceSettings(), 6);
   s.start(24);
   s.run(8 * kSecond);
-  s.tell("s_a", ServerState::Draining);
-  s.tell("s_a", ServerState::Gone);
+  s.tell("s_a", EndpointState::Draining);
+  s.tell("s_a", EndpointState::Removed);
   s.run(10 * kSecond);
   for (int t = 0; t < 24; ++t) EXPECT_EQ(s.tables[t].count("s_a"), 0u) << t;
 }
@@ -454,18 +454,18 @@
 TEST(WrongList, ListedServersThatNeverAnswerGetNoBulkOfSlices) {
   for (const bool probes : {false, true}) {
     Settings settings = adviceSettings();
-    settings.probesAllowed = probes;
+    settings.healthChecksAllowed = probes;
     Scene s(settings, 6);
     s.start(24);
     s.run(8 * kSecond);
     for (const char* id : {"s_t", "s_u", "s_v", "s_w"}) {
       s.ghosts.insert(id);
       s.bad(id, 1);
-      s.tell(id, ServerState::Ready, s.now - 5 * kSecond);
+      s.tell(id, EndpointState::Ready, s.now - 5 * kSecond);
     }
     s.run(kSecond);
-    s.tell("s_a", ServerState::Draining);
-    s.tell("s_b", ServerState::Draining);
+    s.tell("s_a", EndpointState::Draining);
+    s.tell("s_b", EndpointState::Draining);
     int onGhosts = 0;
     for (const auto& id : s.ghosts) onGhosts += s.homesAt(id);
     EXPECT_LE(onGhosts, probes ? 0 : 3);
@@ -481,9 +481,9 @@
   Scene s(adviceSettings(), 6);
   s.start(24);
   s.run(8 * kSecond);
-  s.tell("s_a", ServerState::Draining);
-  s.tell("s_z", ServerState::Ready, s.now - 17 * kSecond);
-  s.tell("s_b", ServerState::Draining);
+  s.tell("s_a", EndpointState::Draining);
+  s.tell("s_z", EndpointState::Ready, s.now - 17 * kSecond);
+  s.tell("s_b", EndpointState::Draining);
   EXPECT_GE(s.homesAt("s_z"), 3);
 }
 
@@ -506,16 +506,16 @@
 TEST(WrongList, ANewServerThatAnswersIsTrusted) {
   for (const bool probes : {false, true}) {
     Settings settings = adviceSettings();
-    settings.probesAllowed = probes;
+    settings.healthChecksAllowed = probes;
     Scene s(settings, 4);
     s.start(24);
     s.run(8 * kSecond);
-    s.tell("s_z", ServerState::Ready, s.now - 17 * kSecond);  // warm
+    s.tell("s_z", EndpointState::Ready, s.now - 17 * kSecond);  // warm
     s.run(kSecond);
-    s.tell("s_a", ServerState::Draining);
+    s.tell("s_a", EndpointState::Draining);
     s.run(5 * kSecond);
     EXPECT_GE(s.homesAt("s_z"), 1);
-    s.tell("s_b", ServerState::Draining);
+    s.tell("s_b", EndpointState::Draining);
     EXPECT_GE(s.homesAt("s_z"), 3) << probes;
   }
 }
@@ -528,13 +528,13 @@
 TEST_P(FullSize, NoMoreLinesWaitThanMayAndDrainsAreKept) {
   Settings settings = plainSettings();
   settings.slices = 2000;
-  settings.linesPerSecond = settings.linesWaitingMax = 100000;
+  settings.routesPerSecond = settings.pendingRoutesMax = 100000;
   settings.drainGrace = 3 * kSecond;
   settings.messagesPerProxyMax = 0;
   Scene s(settings, 280);
   std::vector<Event> ev = s.startEvents(1000);
-  for (int p = 3; p < 300; ++p) ev.push_back(ProxyJoined{p, p % 2, 5, true});
-  const double pace = settings.linesPerSecond / GetParam();
+  for (int p = 3; p < 300; ++p) ev.push_back(ProxyConnected{p, p % 2, 5, true});
+  const double pace = settings.routesPerSecond / GetParam();
   double waiting = 0, most = 0;
   Micros from = s.now;
   s.confirming = false;
@@ -543,18 +543,18 @@
     waiting = std::max(0.0, waiting - pace * static_cast<double>(s.now - from) / kSecond);
     from = s.now;
     while (!arrivals.empty() && arrivals.begin()->first <= s.now) {
-      for (int p = 0; p < 300; ++p) events.push_back(OrderApplied{p, arrivals.begin()->second, kMs});
+      for (int p = 0; p < 300; ++p) events.push_back(UpdateAcknowledged{p, arrivals.begin()->second, kMs});
       arrivals.erase(arrivals.begin());
     }
     double lines = 0;
     int mark = -1;
     for (const Action& a : s.feed(events)) {
-      lines += std::get_if<SetLine>(&a) || std::get_if<Admit>(&a) || std::get_if<Withdraw>(&a);
-      if (const auto* m = std::get_if<Mark>(&a)) mark = m->mark;
+      lines += std::get_if<SetRoute>(&a) || std::get_if<SetAdmission>(&a) || std::get_if<SetEjection>(&a);
+      if (const auto* m = std::get_if<AcknowledgementRequest>(&a)) mark = m->updateId;
     }
-    if (lines > 0) waiting += 300 * (settings.linesPerMessage + 1 + lines);
+    if (lines > 0) waiting += 300 * (settings.messageOverheadRoutes + 1 + lines);
     if (mark >= 0)
-      arrivals[s.now + settings.orderDelay + static_cast<Micros>(waiting / pace * kSecond)] = mark;
+      arrivals[s.now + settings.pushDelay + static_cast<Micros>(waiting / pace * kSecond)] = mark;
     most = std::max(most, waiting);
   };
   auto run = [&](Micros span) {
@@ -567,11 +567,11 @@
   };
   feed(ev);
   run(10 * kSecond);
-  ListNews drain;  // a third of the fleet drains at once
-  drain.mode = ListMode::Delta;
+  EndpointListUpdate drain;  // a third of the fleet drains at once
+  drain.kind = EndpointListKind::Delta;
   for (int i = 0; i < 90; ++i) {
-    drain.entries.push_back(s.list[Scene::name(i)]);
-    drain.entries.back().state = ServerState::Draining;
+    drain.endpoints.push_back(s.list[Scene::name(i)]);
+    drain.endpoints.back().state = EndpointState::Draining;
   }
   feed({drain});
   run(static_cast<Micros>(2 * kSecond * GetParam()));  // the grace grows as the channel slows
@@ -581,7 +581,7 @@
   }
   for (int i = 0; i < 280; ++i) s.latency[Scene::name(i)] = 1500 * kMs;  // and all are overloaded
   run(15 * kSecond);
-  EXPECT_LE(most, settings.linesWaitingMax);
+  EXPECT_LE(most, settings.pendingRoutesMax);
   EXPECT_LT((s.levels[{kAllTables, 0}]), 0.9) << "one level for all slices";
 }
 
@@ -589,15 +589,15 @@
 TEST(Placement, UnderStrainAColdServersFirstSliceCountsWithItsDouble) {
   Settings settings = plainSettings();
   settings.slices = 72;  // two peers hold as many
-  settings.probesAllowed = true;
+  settings.healthChecksAllowed = true;
   Scene s(settings, 6);
   s.start(24);
   s.run(8 * kSecond);
   for (int i = 0; i < 6; ++i) s.latency[Scene::name(i)] = 900 * kMs;
   s.run(10 * kSecond);
-  s.tell("s_z", ServerState::Ready, s.now - 2 * kSecond);
+  s.tell("s_z", EndpointState::Ready, s.now - 2 * kSecond);
   s.run(250 * kMs);
-  s.tell("s_a", ServerState::Gone);
+  s.tell("s_a", EndpointState::Removed);
   EXPECT_EQ(s.homesAt("s_z"), 0);
 }
 
@@ -754,7 +754,7 @@
 
 TEST(Hot, AServerStartedWithinTenSecondsIsNoTarget) {
   Scene s = hotScene();
-  s.tell("s_e", ServerState::Ready, s.now);
+  s.tell("s_e", EndpointState::Ready, s.now);
   s.latency["s_a"] = 350 * kMs;
   s.run(4 * kSecond);
   EXPECT_EQ(s.count("to s_e from s_a: hot"), 0);
@@ -811,9 +811,9 @@
   Scene s(plainSettings(), 3);
   s.start(12);
   s.run(8 * kSecond);
-  s.tell("s_b", ServerState::Ready, s.now - 100 * kMs);
-  s.tell("s_a", ServerState::Gone);
-  s.tell("s_c", ServerState::Gone);  // only the cold one is left: it must take all the slices
+  s.tell("s_b", EndpointState::Ready, s.now - 100 * kMs);
+  s.tell("s_a", EndpointState::Removed);
+  s.tell("s_c", EndpointState::Removed);  // only the cold one is left: it must take all the slices
   s.run(2 * kSecond);
   EXPECT_EQ(s.homesAt("s_b"), 12);
   for (int t = 0; t < 12; ++t) EXPECT_LT((s.levels[{t, 0}]), 0.5) << t;
@@ -825,12 +825,12 @@
   Scene s;
   s.start(16);
   s.run(8 * kSecond);
-  s.tell("s_b", ServerState::Ready, s.now - 500 * kMs);
+  s.tell("s_b", EndpointState::Ready, s.now - 500 * kMs);
   s.run(kSecond);
-  ListNews old = s.news(ListMode::Cached);
-  for (ServerEntry& e : old.entries) e.startedAt = 0;  // it does not know of the start yet
+  EndpointListUpdate old = s.news(EndpointListKind::Cached);
+  for (Endpoint& e : old.endpoints) e.startedAt = 0;  // it does not know of the start yet
   s.restartWith(old);
-  s.feed({s.news(ListMode::Full)});
+  s.feed({s.news(EndpointListKind::Full)});
   s.run(8 * kSecond);
   EXPECT_EQ(s.homesAt("s_b"), 0);
   s.run(30 * kSecond);
@@ -845,17 +845,17 @@
     Scene s;
     s.start(16);
     s.run(8 * kSecond);
-    ListNews old = s.news(ListMode::Cached);
+    EndpointListUpdate old = s.news(EndpointListKind::Cached);
     for (const char* id : {"s_e", "s_f"}) {
-      ServerEntry e;
+      Endpoint e;
       e.server = id;
       e.startedAt = s.now;
       s.list[id] = e;
     }
-    if (listed) old = s.news(ListMode::Cached);
+    if (listed) old = s.news(EndpointListKind::Cached);
     s.now += 5 * kSecond;
     s.restartWith(old);
-    s.feed({s.news(listed ? ListMode::Delta : ListMode::Full)});
+    s.feed({s.news(listed ? EndpointListKind::Delta : EndpointListKind::Full)});
     s.run(40 * kSecond);
     EXPECT_GE(s.homesAt("s_e"), 1) << (listed ? "listed" : "new");
     EXPECT_GE(s.homesAt("s_f"), 1) << (listed ? "listed" : "new");
@@ -864,13 +864,13 @@
 
 TEST(Admission, UnderStrainAColdServerLetsInNoLargerShareThanTheWarm) {
   Settings settings = plainSettings();
-  settings.probesAllowed = true;
+  settings.healthChecksAllowed = true;
   Scene s(settings, 4);
   s.start(16);
   s.run(8 * kSecond);
   for (int i = 0; i < 4; ++i) s.latency[Scene::name(i)] = 900 * kMs;
   s.run(15 * kSecond);
-  s.tell("s_e", ServerState::Ready, s.now - 6 * kSecond);
+  s.tell("s_e", EndpointState::Ready, s.now - 6 * kSecond);
   s.latency["s_e"] = 100 * kMs;
   s.run(4 * kSecond);
   double warm = 0;
@@ -894,11 +894,11 @@
   s.run(8 * kSecond);
   for (int i = 0; i < 4; ++i) s.latency[Scene::name(i)] = 900 * kMs;
   s.run(15 * kSecond);
-  s.tell("s_e", ServerState::Ready, s.now - 15 * kSecond);  // warm in a second, and never yet pressed
-  s.tell("s_b", ServerState::Ready, s.now - 3 * kSecond);   // cold for long
-  s.tell("s_a", ServerState::Gone);
-  s.tell("s_c", ServerState::Gone);
-  s.tell("s_d", ServerState::Gone);
+  s.tell("s_e", EndpointState::Ready, s.now - 15 * kSecond);  // warm in a second, and never yet pressed
+  s.tell("s_b", EndpointState::Ready, s.now - 3 * kSecond);   // cold for long
+  s.tell("s_a", EndpointState::Removed);
+  s.tell("s_c", EndpointState::Removed);
+  s.tell("s_d", EndpointState::Removed);
   s.latency["s_e"] = s.latency["s_b"] = 100 * kMs;
   s.run(2 * kSecond);
   int cold = 0;
@@ -917,7 +917,7 @@
   for (const bool strained : {false, true}) {
     Settings settings = plainSettings();
     settings.slices = 120;
-    settings.probesAllowed = true;
+    settings.healthChecksAllowed = true;
     Scene s(settings, 6);
     s.start(120);
     s.run(10 * kSecond);
@@ -925,9 +925,9 @@
       for (int i = 0; i < 6; ++i) s.latency[Scene::name(i)] = 900 * kMs;
     }
     s.run(8 * kSecond);
-    s.tell("s_z", ServerState::Ready, s.now - 4 * kSecond);
+    s.tell("s_z", EndpointState::Ready, s.now - 4 * kSecond);
     s.run(250 * kMs);  // the probe's answer comes
-    for (int i = 0; i < 4; ++i) s.tell(Scene::name(i), ServerState::Gone);
+    for (int i = 0; i < 4; ++i) s.tell(Scene::name(i), EndpointState::Removed);
     given[strained] = s.homesAt("s_z");
   }
   EXPECT_LT(given[1], given[0]);
@@ -936,17 +936,17 @@
 
 TEST(Retries, NeverBeyondProofForWhatMayTakeEffectTwice) {
   Settings settings = plainSettings();
-  settings.classes[1].effect = Effect::ByKey;
-  settings.classes[1].dedupScope = DedupScope::Cell;
-  settings.classes[1].keyTtl = 2 * kSecond;
+  settings.classes[1].idempotency = Idempotency::WithIdempotencyKey;
+  settings.classes[1].deduplicationScope = DeduplicationScope::Cell;
+  settings.classes[1].idempotencyKeyTtl = 2 * kSecond;
   Scene s(settings);
   s.start(12);
   s.run(6 * kSecond);
-  EXPECT_EQ((s.tries[{kAllTables, 0}]), SecondTry::AfterAnyFailure);
+  EXPECT_EQ((s.tries[{kAllTables, 0}]), RetryPolicy::AnyFailure);
   for (int i = 0; i < 4; ++i) s.latency[Scene::name(i)] = 900 * kMs;
   s.run(6 * kSecond);
   for (const auto& [key, how] : s.tries) {
-    EXPECT_TRUE(key.second == 0 || how <= SecondTry::AfterProof);
+    EXPECT_TRUE(key.second == 0 || how <= RetryPolicy::IfNotExecuted);
   }
 }
 
@@ -954,11 +954,11 @@
 // work.
 TEST(Retries, OnlyAfterProofWhereTheTimeOutLiesBeyondTheAim) {
   Settings settings = plainSettings();
-  settings.tryAims = 1.2;
+  settings.attemptTimeoutObjectives = 1.2;
   Scene s(settings);
   s.start(12);
   s.run(6 * kSecond);
-  EXPECT_EQ((s.tries[{kAllTables, 0}]), SecondTry::AfterProof);
+  EXPECT_EQ((s.tries[{kAllTables, 0}]), RetryPolicy::IfNotExecuted);
 }
 
 TEST(Retries, UnderStrainOnlyAfterProof) {
@@ -967,7 +967,7 @@
   s.run(6 * kSecond);
   for (int i = 0; i < 4; ++i) s.bad(Scene::name(i), 0.4);
   s.run(4 * kSecond);
-  EXPECT_EQ((s.tries[{kAllTables, 0}]), SecondTry::AfterProof);
+  EXPECT_EQ((s.tries[{kAllTables, 0}]), RetryPolicy::IfNotExecuted);
 }
 
 TEST(Retries, AProxyThatJoinsIsToldToo) {
@@ -975,9 +975,9 @@
   s.start(12);
   s.run(6 * kSecond);
   s.tries.clear();
-  s.feed({ProxyJoined{9, 0, 5, true}});
+  s.feed({ProxyConnected{9, 0, 5, true}});
   s.run(kSecond);
-  EXPECT_EQ((s.tries[{kAllTables, 0}]), SecondTry::AfterAnyFailure);
+  EXPECT_EQ((s.tries[{kAllTables, 0}]), RetryPolicy::AnyFailure);
 }
 
 // ---- Pacing ----
@@ -989,14 +989,14 @@
   s.start(24);
   s.run(3 * kSecond);
   for (int i = 0; i < 11; ++i) {
-    s.tell(Scene::name(i), ServerState::Draining);
+    s.tell(Scene::name(i), EndpointState::Draining);
     s.run(500 * kMs);
-    s.tell(Scene::name(i), ServerState::Ready, s.now);
+    s.tell(Scene::name(i), EndpointState::Ready, s.now);
     s.run(250 * kMs);
   }
   for (std::size_t i = 0; i < s.messagesAt.size(); ++i) {
     const auto within = std::count_if(s.messagesAt.begin(), s.messagesAt.end(), [&](Micros at) {
-      return at >= s.messagesAt[i] && at < s.messagesAt[i] + settings.messagesSpan;
+      return at >= s.messagesAt[i] && at < s.messagesAt[i] + settings.messageWindow;
     });
     EXPECT_LE(within, 8);
   }
@@ -1006,28 +1006,28 @@
   Scene s;
   s.start(16);
   for (int i = 0; i < 40; ++i) {  // joins call for the standing orders again and again
-    s.feed({ProxyJoined{10 + i, 0, 1, true}});
+    s.feed({ProxyConnected{10 + i, 0, 1, true}});
     s.run(250 * kMs);
   }
-  s.tell("s_b", ServerState::Draining);
+  s.tell("s_b", EndpointState::Draining);
   for (int t = 0; t < 16; ++t) EXPECT_EQ(s.tables[t].count("s_b"), 0u) << t;
 }
 
 TEST(Pacing, AFullQueueHoldsOrdersBack) {
   Settings settings = plainSettings();
-  settings.linesPerSecond = 20;
-  settings.linesWaitingMax = 60;
+  settings.routesPerSecond = 20;
+  settings.pendingRoutesMax = 60;
   Scene s(settings);
   s.confirming = false;
   s.start(8);
   s.run(250 * kMs);  // the first message fills the queue
   const std::size_t sent = s.messagesAt.size();
-  s.tell("s_b", ServerState::Draining);
+  s.tell("s_b", EndpointState::Draining);
   EXPECT_EQ(s.messagesAt.size(), sent);
   s.run(5 * kSecond);
   EXPECT_EQ(s.messagesAt.size(), sent) << "how slow the channel is, nobody told";
   s.confirming = true;
-  for (int p = 0; p < 3; ++p) s.answers.push_back(OrderApplied{p, 1, kMs});
+  for (int p = 0; p < 3; ++p) s.answers.push_back(UpdateAcknowledged{p, 1, kMs});
   s.run(5 * kSecond);
   EXPECT_EQ(s.homesAt("s_b"), 0);
 }
@@ -1044,24 +1044,24 @@
   const auto feed = [&](const std::vector<Event>& events) {
     double lines = 0;
     for (const Action& a : s.feed(events))
-      lines += std::get_if<SetLine>(&a) || std::get_if<Admit>(&a) || std::get_if<Withdraw>(&a);
-    if (lines > 0) waiting += settings.proxies * (settings.linesPerMessage + 1 + lines);
+      lines += std::get_if<SetRoute>(&a) || std::get_if<SetAdmission>(&a) || std::get_if<SetEjection>(&a);
+    if (lines > 0) waiting += settings.proxies * (settings.messageOverheadRoutes + 1 + lines);
   };
   feed(s.startEvents(500));  // three proxies and all slices, none of which has a standby yet
-  EXPECT_LE(waiting, settings.linesWaitingMax);
+  EXPECT_LE(waiting, settings.pendingRoutesMax);
   std::vector<Event> crowd{TimerFired{"sweep"}};
-  for (int p = 3; p < settings.proxies; ++p) crowd.push_back(ProxyJoined{p, p % 2, 5, false});
+  for (int p = 3; p < settings.proxies; ++p) crowd.push_back(ProxyConnected{p, p % 2, 5, false});
   s.now += 10 * kMs;
   feed(crowd);
-  ListNews drain;  // and all that may follow at once does
-  drain.mode = ListMode::Delta;
+  EndpointListUpdate drain;  // and all that may follow at once does
+  drain.kind = EndpointListKind::Delta;
   for (int i = 0; i < 15; ++i) {
-    drain.entries.push_back(s.list[Scene::name(i)]);
-    drain.entries.back().state = ServerState::Draining;
+    drain.endpoints.push_back(s.list[Scene::name(i)]);
+    drain.endpoints.back().state = EndpointState::Draining;
   }
   s.now += 10 * kMs;
   feed({drain});
-  EXPECT_LE(waiting, settings.linesWaitingMax);
+  EXPECT_LE(waiting, settings.pendingRoutesMax);
 }
 
 TEST(Pacing, WhatWentToAProxyBeforeItsNewsWereReadWaitsForIt) {
@@ -1083,7 +1083,7 @@
 struct Way : testing::Test {
   Settings settings = [] {
     Settings s = plainSettings();
-    s.ordersTold = true;
+    s.deliveryReported = true;
     return s;
   }();
   Scene s{settings};
@@ -1091,18 +1091,18 @@
   static std::vector<std::string> lines(const std::vector<Action>& out) {
     std::vector<std::string> text;
     for (const Action& a : out) {
-      if (const auto* line = std::get_if<SetLine>(&a))
+      if (const auto* line = std::get_if<SetRoute>(&a))
         text.push_back(std::to_string(line->table) + " " + line->server +
                        (line->weight > 0 ? " in" : " out"));
-      if (const auto* pull = std::get_if<Withdraw>(&a))
-        text.push_back(pull->server + (pull->out ? " shut" : " open"));
+      if (const auto* pull = std::get_if<SetEjection>(&a))
+        text.push_back(pull->server + (pull->state == EjectionState::Ejected ? " shut" : " open"));
     }
     std::sort(text.begin(), text.end());
     return text;
   }
   static int markOf(const std::vector<Action>& out) {
     for (const Action& a : out) {
-      if (const auto* mark = std::get_if<Mark>(&a)) return mark->mark;
+      if (const auto* mark = std::get_if<AcknowledgementRequest>(&a)) return mark->updateId;
     }
     return -1;
   }
@@ -1114,8 +1114,8 @@
   void begin() {
     s.confirming = false;
     const int mark = markOf(s.feed(s.startEvents(8)));
-    std::vector<Event> events{OrdersTold{mark, true, 1}};
-    for (int p = 0; p < 3; ++p) events.push_back(OrderApplied{p, mark, kMs});
+    std::vector<Event> events{UpdateDelivery{mark, DeliveryOutcome::Accepted, 1}};
+    for (int p = 0; p < 3; ++p) events.push_back(UpdateAcknowledged{p, mark, kMs});
     later(events);
     s.now += 2 * kSecond;
   }
@@ -1123,12 +1123,13 @@
 
 TEST_F(Way, NothingFollowsAReplyUntilItsFateIsTold) {
   begin();
-  const std::vector<Action> first = s.tell("s_b", ServerState::Draining);
+  const std::vector<Action> first = s.tell("s_b", EndpointState::Draining);
   ASSERT_FALSE(lines(first).empty());
-  EXPECT_TRUE(lines(s.tell("s_c", ServerState::Draining)).empty());
+  EXPECT_TRUE(lines(s.tell("s_c", EndpointState::Draining)).empty());
   EXPECT_TRUE(lines(later({TimerFired{"sweep"}})).empty());
-  EXPECT_TRUE(lines(later({OrdersTold{markOf(first) - 1, true, 1}})).empty()) << "that was another reply";
-  EXPECT_FALSE(lines(later({OrdersTold{markOf(first), true, 1}})).empty())
+  EXPECT_TRUE(lines(later({UpdateDelivery{markOf(first) - 1, DeliveryOutcome::Accepted, 1}})).empty())
+      << "that was another reply";
+  EXPECT_FALSE(lines(later({UpdateDelivery{markOf(first), DeliveryOutcome::Accepted, 1}})).empty())
       << "at once, and not at the next sweep";
   EXPECT_EQ(s.homesAt("s_c"), 0);
 }
@@ -1136,12 +1137,12 @@
 TEST_F(Way, WhatWasMissedIsOrderedAnewWithWhatIsNewer) {
   begin();
   const auto before = s.tables;
-  const std::vector<Action> first = s.tell("s_b", ServerState::Draining);
-  s.tell("s_c", ServerState::Draining);
+  const std::vector<Action> first = s.tell("s_b", EndpointState::Draining);
+  s.tell("s_c", EndpointState::Draining);
   s.tables = before;  // the first reply never arrived
   s.withdrawn.clear();
   s.shut.clear();
-  const auto then = lines(later({OrdersTold{markOf(first), false, 1}}));
+  const auto then = lines(later({UpdateDelivery{markOf(first), DeliveryOutcome::Incomplete, 1}}));
   for (int t = 0; t < 8; ++t) {
     EXPECT_FALSE(s.tables[t].empty()) << t;
     EXPECT_EQ(s.tables[t].count("s_b") + s.tables[t].count("s_c"), 0u) << t;
@@ -1153,9 +1154,10 @@
 
 TEST_F(Way, WhatWasMissedForASliceThatChangedHandsIsNotRepeated) {
   begin();
-  const std::vector<Action> first = s.tell("s_b", ServerState::Draining);
-  later({SliceCharge{1, false}, SliceCharge{1, true}, StoredLine{1, "s_a", 1}});
-  for (const std::string& order : lines(later({OrdersTold{markOf(first), false, 1}})))
+  const std::vector<Action> first = s.tell("s_b", EndpointState::Draining);
+  later({SliceAssignment{1, false}, SliceAssignment{1, true}, StoredRoute{1, "s_a", 1}});
+  for (const std::string& order :
+       lines(later({UpdateDelivery{markOf(first), DeliveryOutcome::Incomplete, 1}})))
     EXPECT_TRUE(order.compare(0, 2, "1 ") != 0 || order.find("s_b") == std::string::npos) << order;
 }
 
@@ -1163,20 +1165,21 @@
 // drain: since missed orders go by their urgency, a missed start (levels for all, standbys) waits for its
 // turn.
 TEST_F(Way, WhatMayBeInTheChannelTwiceIsCountedTwice) {
-  settings.linesWaitingMax = 400;
+  settings.pendingRoutesMax = 400;
   s = Scene(settings);
   begin();
-  std::vector<Action> reply = s.tell("s_b", ServerState::Draining);
+  std::vector<Action> reply = s.tell("s_b", EndpointState::Draining);
   double waiting = 0;
   int messages = 0;
   for (int k = 0; k < 200; ++k) {
     const auto sent = std::count_if(reply.begin(), reply.end(), [](const Action& a) {
-      return std::get_if<SetLine>(&a) || std::get_if<Withdraw>(&a) || std::get_if<Admit>(&a);
+      return std::get_if<SetRoute>(&a) || std::get_if<SetEjection>(&a) || std::get_if<SetAdmission>(&a);
     });
     messages += sent > 0;
-    if (sent > 0) waiting += 3 * (settings.linesPerMessage + 1 + static_cast<double>(sent));
-    EXPECT_LE(waiting, settings.linesWaitingMax) << k;
-    reply = later({OrdersTold{markOf(reply), false, 1}});  // nothing ever leaves this channel
+    if (sent > 0) waiting += 3 * (settings.messageOverheadRoutes + 1 + static_cast<double>(sent));
+    EXPECT_LE(waiting, settings.pendingRoutesMax) << k;
+    reply = later(
+        {UpdateDelivery{markOf(reply), DeliveryOutcome::Incomplete, 1}});  // nothing ever leaves this channel
   }
   EXPECT_GE(messages, 2);
 }
@@ -1184,20 +1187,22 @@
 // Where a slice has one owner the new one may not come before the old one's removal is in the store and
 // everyone has confirmed it, whoever joined between.
 TEST_F(Way, NoNewOwnerWhileTheRemovalOfTheOldOneWasMissed) {
-  settings.oneOwner = true;
-  settings.writeSettle = 20 * kMs;
+  settings.sliceOwnership = SliceOwnership::SingleOwner;
+  settings.inFlightWriteMax = 20 * kMs;
   s = Scene(settings);
   begin();
-  std::vector<Action> reply = s.tell("s_b", ServerState::Draining);
+  std::vector<Action> reply = s.tell("s_b", EndpointState::Draining);
   ASSERT_GE(lines(reply).size(), 2u);
   const auto removals = lines(reply);
-  later({ProxyJoined{0, 0, 5, false}, ProxyJoined{1, 1, 5, false}, ProxyJoined{2, 0, 5, false}});
+  later({ProxyConnected{0, 0, 5, false}, ProxyConnected{1, 1, 5, false}, ProxyConnected{2, 0, 5, false}});
   s.now += 2 * kSecond;
-  reply = later({OrdersTold{markOf(reply), false, 1}});
+  reply = later({UpdateDelivery{markOf(reply), DeliveryOutcome::Incomplete, 1}});
   EXPECT_EQ(lines(reply), removals);
   const int mark = markOf(reply);
-  EXPECT_TRUE(lines(later({OrdersTold{mark, true, 1}, TimerFired{"sweep"}})).empty());
-  later({OrderApplied{0, mark, kMs}, OrderApplied{1, mark, kMs}, OrderApplied{2, mark, kMs}});
+  EXPECT_TRUE(
+      lines(later({UpdateDelivery{mark, DeliveryOutcome::Accepted, 1}, TimerFired{"sweep"}})).empty());
+  later(
+      {UpdateAcknowledged{0, mark, kMs}, UpdateAcknowledged{1, mark, kMs}, UpdateAcknowledged{2, mark, kMs}});
   s.now += kSecond;
   EXPECT_EQ(lines(later({TimerFired{"sweep"}})).size(), removals.size()) << "the new owners";
 }
@@ -1208,31 +1213,31 @@
 TEST_F(Way, AMissedReplyThatFillsMostOfTheChannelIsOrderedAnewInParts) {
   constexpr int kServers = 60, kSlices = 120;
   settings.slices = kSlices;
-  settings.linesWaitingMax = 3 * 180;
-  settings.linesPerSecond = settings.linesWaitingMax / 1.5;
+  settings.pendingRoutesMax = 3 * 180;
+  settings.routesPerSecond = settings.pendingRoutesMax / 1.5;
   s = Scene(settings, kServers);
   s.reporting = s.confirming = false;
   std::vector<Event> start = s.startEvents(kSlices);
   std::vector<Action> reply = s.feed(start);
   const auto settle = [&](bool taken) {  // what becomes of the reply in hand; proxies confirm it 0.5 s later
     const int mark = markOf(reply);
-    reply = later({OrdersTold{mark, taken, 1}});
+    reply = later({UpdateDelivery{mark, taken ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete, 1}});
     if (!taken) return;
     s.now += 500 * kMs;
-    const auto next = s.feed({OrderApplied{0, mark, kMs}, OrderApplied{1, mark, kMs},
-                              OrderApplied{2, mark, kMs}, TimerFired{"sweep"}});
+    const auto next = s.feed({UpdateAcknowledged{0, mark, kMs}, UpdateAcknowledged{1, mark, kMs},
+                              UpdateAcknowledged{2, mark, kMs}, TimerFired{"sweep"}});
     if (markOf(reply) < 0) reply = next;
   };
   for (int k = 0; k < 40 && markOf(reply) >= 0; ++k) settle(true);
-  ListNews release{ListMode::Delta, 0, {}};
+  EndpointListUpdate release{EndpointListKind::Delta, 0, {}};
   for (int i = 0; i < kServers / 2; ++i) {
-    s.list[Scene::name(i)].state = ServerState::Draining;
-    release.entries.push_back(s.list[Scene::name(i)]);
+    s.list[Scene::name(i)].state = EndpointState::Draining;
+    release.endpoints.push_back(s.list[Scene::name(i)]);
   }
   const Micros told = s.now += 2 * kSecond;
   const auto before = s.tables;
   reply = s.feed({release});
-  ASSERT_GE(static_cast<double>(lines(reply).size()), 0.5 * settings.linesWaitingMax / 3);
+  ASSERT_GE(static_cast<double>(lines(reply).size()), 0.5 * settings.pendingRoutesMax / 3);
   s.tables = before;  // it never arrived, and nobody can tell so
   s.withdrawn.clear();
   s.shut.clear();
@@ -1247,15 +1252,15 @@
   }
   for (int t = 0; t < kSlices; ++t) {
     EXPECT_FALSE(s.tables[t].empty()) << t;
-    for (const auto& [server, w] : s.tables[t]) EXPECT_EQ(s.list[server].state, ServerState::Ready) << t;
+    for (const auto& [server, w] : s.tables[t]) EXPECT_EQ(s.list[server].state, EndpointState::Ready) << t;
   }
 }
 
 TEST_F(Way, WhatMadeNoMessageDoesNotCount) {
   begin();
-  std::vector<Action> reply = s.tell("s_b", ServerState::Draining);
+  std::vector<Action> reply = s.tell("s_b", EndpointState::Draining);
   for (int k = 0; k < 100; ++k) {
-    reply = later({OrdersTold{markOf(reply), false, 0}});
+    reply = later({UpdateDelivery{markOf(reply), DeliveryOutcome::Incomplete, 0}});
     ASSERT_GE(lines(reply).size(), 4u) << k;
   }
 }
@@ -1264,25 +1269,25 @@
 
 TEST(List, IsSubscribedAtStartAndAgainAfterErrorsWithBackoff) {
   Settings settings = plainSettings();
-  settings.listOnRequest = true;
+  settings.endpointsOnRequest = true;
   Scene s(settings);
   s.start(8);
   ASSERT_EQ(s.watchedAt.size(), 1u);
   for (int i = 0; i < 4; ++i) {
-    s.feed({ListNews{ListMode::Failed, 0, {}}});
+    s.feed({EndpointListUpdate{EndpointListKind::Failed, 0, {}}});
     s.run(3 * kSecond);
   }
   ASSERT_EQ(s.watchedAt.size(), 5u);
   EXPECT_LT(s.watchedAt[1] - s.watchedAt[0], kSecond);
   for (std::size_t i = 1; i < s.watchedAt.size(); ++i) {
-    EXPECT_LE(s.watchedAt[i] - s.watchedAt[i - 1], settings.askWithin);
+    EXPECT_LE(s.watchedAt[i] - s.watchedAt[i - 1], settings.pollDeadline);
   }
 }
 
 // All supervisors are refused at once when discovery has too many callers: they do not come again at once.
 TEST(List, ThoseRefusedTogetherDoNotAskAgainTogether) {
   Settings settings = plainSettings();
-  settings.listOnRequest = true;
+  settings.endpointsOnRequest = true;
   std::vector<Scene> all;
   for (int k = 0; k < 40; ++k) {
     all.emplace_back(settings, 4, k + 1);
@@ -1291,7 +1296,7 @@
   std::map<Micros, int> asked;  // of the third time on
   for (Scene& s : all) {
     for (int step = 0; step < 120; ++step) {
-      if (s.watchedAt.back() == s.now) s.feed({ListNews{ListMode::Failed, 0, {}}});
+      if (s.watchedAt.back() == s.now) s.feed({EndpointListUpdate{EndpointListKind::Failed, 0, {}}});
       s.run(250 * kMs);
     }
     for (std::size_t k = 3; k < s.watchedAt.size(); ++k) ++asked[s.watchedAt[k]];
@@ -1313,10 +1318,10 @@
   s.start(8);
   s.run(3 * kSecond);
   const auto before = s.tables;
-  s.feed({ServerReport{0, "s_stranger", 9, 9, 0, kSecond}, SliceDemand{23, 0, 9, 0, kSecond},
-          SliceDemand{0, 7, 9, 0, kSecond}, StoredLine{23, "s_a", 1}, ProxyLeft{77}, OrderApplied{77, 3, 5},
-          ServerReport{0, "s_a", 0, 0, 0, 0}, TimerFired{"unheard of"}, PeerNote{1, "x"},
-          ProbeResult{"s_stranger", ProbeOutcome::Broken, 0}});
+  s.feed({ServerLoadReport{0, "s_stranger", 9, 9, 0, kSecond}, SliceLoadReport{23, 0, 9, 0, kSecond},
+          SliceLoadReport{0, 7, 9, 0, kSecond}, StoredRoute{23, "s_a", 1}, ProxyDisconnected{77},
+          UpdateAcknowledged{77, 3, 5}, ServerLoadReport{0, "s_a", 0, 0, 0, 0}, TimerFired{"unheard of"},
+          GossipReceived{1, "x"}, HealthCheckResult{"s_stranger", HealthCheckOutcome::ConnectionLost, 0}});
   s.run(3 * kSecond);
   EXPECT_EQ(s.tables, before);
 }
@@ -1326,13 +1331,13 @@
 TEST(Odd, AServerThatStartsWithNothingIsAServerAllTheSame) {
   for (const char* fresh : {"s_0", "s_z"}) {
     Settings settings = plainSettings();
-    settings.startCapacity = 0;
+    settings.initialCapacity = 0;
     settings.slices = 40;  // peers hold as many more
     Scene s(settings, 2);
     s.start(8);
     s.run(12 * kSecond);
-    s.tell(fresh, ServerState::Ready, s.now + kSecond);
-    for (const char* id : {"s_a", "s_b"}) s.tell(id, ServerState::Draining);
+    s.tell(fresh, EndpointState::Ready, s.now + kSecond);
+    for (const char* id : {"s_a", "s_b"}) s.tell(id, EndpointState::Draining);
     s.run(6 * kSecond);
     for (int t = 0; t < 8; ++t) EXPECT_EQ(s.home(t), fresh) << t;
   }
@@ -1357,23 +1362,23 @@
 // The old owner's line goes first; the new owner's waits for every proxy's word and for the writes in hand.
 TEST(OneOwner, TheNewOwnerComesOnlyWhenTheOldOnesWritesAreSettled) {
   Settings settings = plainSettings();
-  settings.oneOwner = true;
-  settings.writeSettle = 20 * kMs;
+  settings.sliceOwnership = SliceOwnership::SingleOwner;
+  settings.inFlightWriteMax = 20 * kMs;
   settings.lease = 1500 * kMs;
   Scene s(settings);
   s.confirming = false;
   s.start(8);
   s.run(8 * kSecond);
   int mark = -1;
-  for (const Action& a : s.tell("s_b", ServerState::Draining)) {
-    if (const auto* m = std::get_if<Mark>(&a)) mark = m->mark;
+  for (const Action& a : s.tell("s_b", EndpointState::Draining)) {
+    if (const auto* m = std::get_if<AcknowledgementRequest>(&a)) mark = m->updateId;
   }
   ASSERT_GE(mark, 0);
   EXPECT_TRUE(s.tables[1].empty());
-  s.feed({OrderApplied{0, mark, kMs}, OrderApplied{1, mark, kMs}});
+  s.feed({UpdateAcknowledged{0, mark, kMs}, UpdateAcknowledged{1, mark, kMs}});
   s.run(kSecond);
   EXPECT_TRUE(s.tables[1].empty()) << "one proxy has not confirmed";
-  s.feed({ProxyLeft{2}});
+  s.feed({ProxyDisconnected{2}});
   s.run(kSecond);
   EXPECT_TRUE(s.tables[1].empty()) << "the lost proxy may still write under its lease";
   s.run(kSecond);
@@ -1437,14 +1442,15 @@
   std::vector<std::size_t> held;
   for (int round = 0; round < 30; ++round) {
     for (int k = 0; k < 4; ++k)
-      s.tell("r" + std::to_string(round) + "_" + std::to_string(k), ServerState::Ready, s.now);
+      s.tell("r" + std::to_string(round) + "_" + std::to_string(k), EndpointState::Ready, s.now);
     s.run(8 * kSecond);
-    for (const auto& [id, e] : std::map<std::string, ServerEntry>(s.list)) {
-      if (id.compare(0, 1, "r") != 0 || std::atoi(id.c_str() + 1) < round) s.tell(id, ServerState::Draining);
+    for (const auto& [id, e] : std::map<std::string, Endpoint>(s.list)) {
+      if (id.compare(0, 1, "r") != 0 || std::atoi(id.c_str() + 1) < round)
+        s.tell(id, EndpointState::Draining);
     }
     s.run(4 * kSecond);
-    for (const auto& [id, e] : std::map<std::string, ServerEntry>(s.list)) {
-      if (e.state == ServerState::Draining) s.tell(id, ServerState::Gone);
+    for (const auto& [id, e] : std::map<std::string, Endpoint>(s.list)) {
+      if (e.state == EndpointState::Draining) s.tell(id, EndpointState::Removed);
     }
     s.run(4 * kSecond);
     for (int t = 0; t < 16; ++t) EXPECT_EQ(std::atoi(s.home(t).c_str() + 1), round) << "slice " << t;
@@ -1468,12 +1474,12 @@
   s.run(2 * kSecond);
   auto withdrawn = [](const std::vector<Action>& out, const std::string& server, bool outOf) {
     return std::any_of(out.begin(), out.end(), [&](const Action& a) {
-      const auto* w = std::get_if<Withdraw>(&a);
-      return w != nullptr && w->server == server && w->out == outOf;
+      const auto* w = std::get_if<SetEjection>(&a);
+      return w != nullptr && w->server == server && (w->state == EjectionState::Ejected) == outOf;
     });
   };
-  EXPECT_TRUE(withdrawn(s.tell("s_b", ServerState::Draining), "s_b", true));
-  EXPECT_FALSE(withdrawn(s.tell("s_b", ServerState::Ready, s.now), "s_b", false))
+  EXPECT_TRUE(withdrawn(s.tell("s_b", EndpointState::Draining), "s_b", true));
+  EXPECT_FALSE(withdrawn(s.tell("s_b", EndpointState::Ready, s.now), "s_b", false))
       << "it has only just started";
   bool back = false;
   for (int i = 0; i < 60 && !back; ++i) {
--- a/tests/rules/settings_test.cpp
+++ b/tests/rules/settings_test.cpp
@@ -17,7 +17,7 @@
   Scene s(settings, 1);
   s.start(4);
   s.run(2 * kSecond);
-  s.tell("s_a", ServerState::Draining);
+  s.tell("s_a", EndpointState::Draining);
   s.run(4 * kSecond);
   ASSERT_EQ(s.pulls, 0) << "within the grace of the start";
   settings.drainGrace = 2 * kSecond;
@@ -47,8 +47,8 @@
   s.run(20 * kSecond);
   ASSERT_LT(meanLevel(s, 0), 0.7);
   ASSERT_GT(meanLevel(s, 1), meanLevel(s, 0));
-  settings.classes[0].worth = 100;
-  settings.classes[1].worth = 1;
+  settings.classes[0].priorityWeight = 100;
+  settings.classes[1].priorityWeight = 1;
   s.feed({SettingsChanged{settings}});
   s.run(10 * kSecond);
   EXPECT_LT(meanLevel(s, 1), meanLevel(s, 0)) << "the class that is worth less now";
@@ -60,11 +60,11 @@
   Scene s(settings);
   s.start(24);
   s.run(4 * kSecond);
-  ASSERT_EQ((s.tries[{kAllTables, 0}]), SecondTry::AfterAnyFailure);
-  settings.classes[0].effect = Effect::Once;
+  ASSERT_EQ((s.tries[{kAllTables, 0}]), RetryPolicy::AnyFailure);
+  settings.classes[0].idempotency = Idempotency::NonIdempotent;
   s.feed({SettingsChanged{settings}});
   s.run(2 * kSecond);
-  EXPECT_EQ((s.tries[{kAllTables, 0}]), SecondTry::AfterProof);
+  EXPECT_EQ((s.tries[{kAllTables, 0}]), RetryPolicy::IfNotExecuted);
 }
 
 TEST(SettingsChange, WithAnotherNumberOfClassesItIsLeftOut) {
@@ -73,10 +73,10 @@
   s.start(24);
   s.run(2 * kSecond);
   settings.classes.resize(1);
-  settings.classes[0].effect = Effect::Once;
+  settings.classes[0].idempotency = Idempotency::NonIdempotent;
   s.feed({SettingsChanged{settings}});
   s.run(4 * kSecond);
-  EXPECT_EQ((s.tries[{kAllTables, 0}]), SecondTry::AfterAnyFailure);
+  EXPECT_EQ((s.tries[{kAllTables, 0}]), RetryPolicy::AnyFailure);
 }
 
 // Property: the same settings told again, at any time, change no action. One life is told, its twin is not.
@@ -93,8 +93,8 @@
       const Micros latency = static_cast<Micros>(50 + random() % 1500) * kMs;
       const unsigned what = random() % 20;
       for (Scene* s : {&told, &twin}) {
-        if (what == 0) s->tell(server, ServerState::Draining);
-        if (what == 1) s->tell(server, ServerState::Ready, s->now - 3 * kSecond);
+        if (what == 0) s->tell(server, EndpointState::Draining);
+        if (what == 1) s->tell(server, EndpointState::Ready, s->now - 3 * kSecond);
         if (what < 6) s->latency[server] = latency;
       }
       EXPECT_TRUE(told.feed({SettingsChanged{told.settings}}).empty()) << seed;
--- a/tests/sources/sources_test.cpp
+++ b/tests/sources/sources_test.cpp
@@ -68,7 +68,7 @@
   exchange::Exchange exchange;
   Seen seen;
   op::Operator op;
-  ListNews known;
+  EndpointListUpdate known;
   std::vector<std::string> endpoints;
   Micros now = 1000 * kSecond;
   std::mt19937 random{9};
@@ -95,11 +95,11 @@
         loop.base.get(), &op,       &settingsNames, &known,
         &endpoints,      &exchange, log.log.get(),  [this] { return now + net::steadyNow() - began; }};
     sources = std::make_unique<Sources>(around, [this] { return static_cast<std::uint32_t>(random()); });
-    exchange.carry({WatchList{true}});
+    exchange.carry({WatchEndpoints{true}});
   }
   const Micros began = net::steadyNow();
   // What the module holds.
-  std::map<ServerId, ServerState> list() {
+  std::map<ServerId, EndpointState> list() {
     seen.take(exchange);
     return serverList(seen);
   }
@@ -170,12 +170,12 @@
 TEST_F(Front, TheRosterGoesBeforeRecordsAndBothAreExplained) {
   op.roster = true;
   start();
-  ServerEntry e;
+  Endpoint e;
   e.server = "s-1";
-  e.state = ServerState::Draining;
-  sources->roster({ListMode::Full, 1, {e}}, {"10.1.0.1:3000"});
+  e.state = EndpointState::Draining;
+  sources->roster({EndpointListKind::Full, 1, {e}}, {"10.1.0.1:3000"});
   ASSERT_TRUE(loop.until([&] { return list().size() == 6; }));
-  EXPECT_EQ(list().at("s-1"), ServerState::Draining);
+  EXPECT_EQ(list().at("s-1"), EndpointState::Draining);
   EXPECT_EQ(list().count("10.1.0.1:3000"), 0u);
   sources->explain();
   EXPECT_TRUE(
--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -53,13 +53,14 @@
   std::vector<exchange::Exchange::Orders> orders;
   exchange.onListCall([&](exchange::Exchange::ListCall call) { lists.push_back(call); });
   exchange.onOrders([&](const exchange::Exchange::Orders& o) { orders.push_back(o); });
-  const auto rest = exchange.carry({SetTimer{1, "t"}, SetLine{1, "s", 1}, WatchList{true}, ClearTable{2},
-                                    Withdraw{"s", true}, FetchList{}, Admit{}, Mark{4}, WatchList{false},
-                                    Log{"x"}, Probe{"s"}});
+  const auto rest =
+      exchange.carry({SetTimer{1, "t"}, SetRoute{1, "s", 1}, WatchEndpoints{true}, ClearTable{2},
+                      SetEjection{"s", EjectionState::Ejected}, PollEndpoints{}, SetAdmission{},
+                      AcknowledgementRequest{4}, WatchEndpoints{false}, Log{"x"}, HealthCheck{"s"}});
   ASSERT_EQ(orders.size(), 1u) << "the orders of one reply stay together";
   ASSERT_EQ(orders[0].size(), 5u);
-  EXPECT_TRUE(std::holds_alternative<SetLine>(orders[0].front()));
-  EXPECT_TRUE(std::holds_alternative<Mark>(orders[0].back()));
+  EXPECT_TRUE(std::holds_alternative<SetRoute>(orders[0].front()));
+  EXPECT_TRUE(std::holds_alternative<AcknowledgementRequest>(orders[0].back()));
   using Call = exchange::Exchange::ListCall;
   EXPECT_EQ(lists, (std::vector<Call>{Call::Watch, Call::Fetch, Call::Unwatch}));
   EXPECT_EQ(rest.size(), 3u);
@@ -95,12 +96,12 @@
     exchange.onOrders([this](const exchange::Exchange::Orders& o) { orders.push_back(o); });
     exchange.onListCall([this](exchange::Exchange::ListCall) { ++watches; });
   }
-  ListNews list(ListMode mode) {
-    ListNews news{mode, 1, {}};
+  EndpointListUpdate list(EndpointListKind mode) {
+    EndpointListUpdate news{mode, 1, {}};
     for (const char* name : {"s_a", "s_b", "s_c"}) {
-      ServerEntry e;
+      Endpoint e;
       e.server = name;
-      news.entries.push_back(e);
+      news.endpoints.push_back(e);
     }
     return news;
   }
@@ -110,28 +111,28 @@
 // anew.
 TEST_F(Round, OneTurnIsOneBatch) {
   Supervisor supervisor(1, settings, exchange, *log.log);
-  exchange.post(list(ListMode::Cached));
-  exchange.post(list(ListMode::Full));
-  exchange.post(ProxyJoined{0, 0, 5, true});
+  exchange.post(list(EndpointListKind::Cached));
+  exchange.post(list(EndpointListKind::Full));
+  exchange.post(ProxyConnected{0, 0, 5, true});
   for (int t = 0; t < 6; ++t) {
-    exchange.post(SliceCharge{t, true});
-    exchange.post(StoredLine{t, t % 2 == 0 ? "s_a" : "s_b", 1});
+    exchange.post(SliceAssignment{t, true});
+    exchange.post(StoredRoute{t, t % 2 == 0 ? "s_a" : "s_b", 1});
   }
   supervisor.turn(1000000);
   for (const auto& reply : orders) {
     for (const Action& a : reply) {
-      const auto* line = std::get_if<SetLine>(&a);
+      const auto* line = std::get_if<SetRoute>(&a);
       EXPECT_TRUE(line == nullptr || line->weight < 1) << "a home was moved";
     }
   }
 }
 
 TEST_F(Round, TimersOfTheModuleComeBackAndAnEmptyTurnDoesNothing) {
-  settings.listOnRequest = true;
+  settings.endpointsOnRequest = true;
   Supervisor supervisor(1, settings, exchange, *log.log);
   supervisor.turn(500);
   EXPECT_FALSE(supervisor.nextTimer().has_value()) << "nothing came";
-  exchange.post(list(ListMode::Cached));
+  exchange.post(list(EndpointListKind::Cached));
   supervisor.turn(1000);
   EXPECT_EQ(watches, 1);
   for (int k = 0; k < 10; ++k) {
@@ -145,11 +146,11 @@
 }
 
 TEST_F(Round, AFailedListIsAskedForAgainByTheModule) {
-  settings.listOnRequest = true;
+  settings.endpointsOnRequest = true;
   Supervisor supervisor(1, settings, exchange, *log.log);
-  exchange.post(list(ListMode::Cached));
+  exchange.post(list(EndpointListKind::Cached));
   supervisor.turn(1000);
-  exchange.post(ListNews{ListMode::Failed, 0, {}});
+  exchange.post(EndpointListUpdate{EndpointListKind::Failed, 0, {}});
   supervisor.turn(2000);
   while (watches < 2) {
     ASSERT_LT(*supervisor.nextTimer(), 20 * kSecond);
--- a/tests/support/scene.h
+++ b/tests/support/scene.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "peargrade/director.h"
+#include "peargrade/decision_engine.h"
 
 namespace peargrade {
 
@@ -16,43 +16,43 @@
 inline Settings plainSettings() {
   Settings s;
   RequestClass low, high, once;
-  low.aim = 800 * kMs;
+  low.latencyObjective = 800 * kMs;
   low.deadline = 2500 * kMs;
-  low.worth = 1;
-  low.effect = Effect::Repeatable;
+  low.priorityWeight = 1;
+  low.idempotency = Idempotency::Idempotent;
   high = low;
-  high.aim = 1600 * kMs;
-  high.worth = 6;
+  high.latencyObjective = 1600 * kMs;
+  high.priorityWeight = 6;
   once = high;
-  once.effect = Effect::Once;
-  once.write = true;
+  once.idempotency = Idempotency::NonIdempotent;
+  once.isWrite = true;
   s.classes = {low, high, once};
   s.slices = 24;
-  s.tryAims = 0.8;
-  s.linesPerSecond = 30000;
-  s.linesPerMessage = 8;
-  s.linesWaitingMax = 30000;
+  s.attemptTimeoutObjectives = 0.8;
+  s.routesPerSecond = 30000;
+  s.messageOverheadRoutes = 8;
+  s.pendingRoutesMax = 30000;
   s.messagesPerProxyMax = 20;
-  s.messagesSpan = 10 * kSecond;
-  s.orderDelay = 300 * kMs;
-  s.orderDelayMax = 800 * kMs;
-  s.reportEvery = 500 * kMs;
-  s.bareMax = 5 * kSecond;
+  s.messageWindow = 10 * kSecond;
+  s.pushDelay = 300 * kMs;
+  s.pushDelayMax = 800 * kMs;
+  s.reportInterval = 500 * kMs;
+  s.unroutableMax = 5 * kSecond;
   s.drainGrace = 2 * kSecond;
-  s.askWithin = 10 * kSecond;
-  s.startCapacity = 0.15;
-  s.warmAfter = 16 * kSecond;
+  s.pollDeadline = 10 * kSecond;
+  s.initialCapacity = 0.15;
+  s.slowStartWindow = 16 * kSecond;
   s.overloadFactor = 2.5;
-  s.fallAfter = 2 * kSecond;
+  s.overloadDurationMax = 2 * kSecond;
   return s;
 }
 
 class Scene {
  public:
   explicit Scene(const Settings& s = plainSettings(), int servers = 4, std::uint64_t seed = 1)
-      : settings(s), director(seed, s) {
+      : settings(s), engine(seed, s) {
     for (int i = 0; i < servers; ++i) {
-      ServerEntry e;
+      Endpoint e;
       e.server = name(i);
       e.zone = i % 2;
       list[e.server] = e;
@@ -64,12 +64,12 @@
   }
 
   std::vector<Event> startEvents(int slices) {
-    std::vector<Event> ev{news(ListMode::Cached), news(ListMode::Full)};
-    for (int p = 0; p < 3; ++p) ev.push_back(ProxyJoined{p, p % 2, 5, true});
+    std::vector<Event> ev{news(EndpointListKind::Cached), news(EndpointListKind::Full)};
+    for (int p = 0; p < 3; ++p) ev.push_back(ProxyConnected{p, p % 2, 5, true});
     for (int t = 0; t < slices; ++t) {
       const std::string home = name(t % static_cast<int>(list.size()));
-      ev.push_back(SliceCharge{t, true});
-      ev.push_back(StoredLine{t, home, 1});
+      ev.push_back(SliceAssignment{t, true});
+      ev.push_back(StoredRoute{t, home, 1});
       tables[t] = {{home, 1}};
     }
     return ev;
@@ -77,54 +77,54 @@
   void start(int slices) { feed(startEvents(slices)); }
 
   // The supervisor dies and comes back with an old list and the store's tables.
-  void restartWith(const ListNews& old) {
-    director = Director(2, settings);
+  void restartWith(const EndpointListUpdate& old) {
+    engine = DecisionEngine(2, settings);
     std::vector<Event> ev{old};
-    for (int p = 0; p < 3; ++p) ev.push_back(ProxyJoined{p, p % 2, 5, false});
+    for (int p = 0; p < 3; ++p) ev.push_back(ProxyConnected{p, p % 2, 5, false});
     for (int t : std::set<TableId>(charge)) {
-      ev.push_back(SliceCharge{t, true});
-      for (const auto& [server, w] : tables[t]) ev.push_back(StoredLine{t, server, w});
-      for (const auto& [server, w] : shut[t]) ev.push_back(StoredLine{t, server, w});
+      ev.push_back(SliceAssignment{t, true});
+      for (const auto& [server, w] : tables[t]) ev.push_back(StoredRoute{t, server, w});
+      for (const auto& [server, w] : shut[t]) ev.push_back(StoredRoute{t, server, w});
     }
     levels.clear();
     feed(ev);
   }
 
-  ListNews news(ListMode mode) const {
-    ListNews n;
-    n.mode = mode;
-    for (const auto& [id, e] : list) n.entries.push_back(e);
+  EndpointListUpdate news(EndpointListKind mode) const {
+    EndpointListUpdate n;
+    n.kind = mode;
+    for (const auto& [id, e] : list) n.endpoints.push_back(e);
     return n;
   }
   // One entry of the list changes and the supervisor is told.
-  std::vector<Action> tell(const std::string& server, ServerState state, Micros startedAt = 0) {
-    ServerEntry e = list.count(server) > 0 ? list[server] : ServerEntry{};
+  std::vector<Action> tell(const std::string& server, EndpointState state, Micros startedAt = 0) {
+    Endpoint e = list.count(server) > 0 ? list[server] : Endpoint{};
     e.server = server;
     e.state = state;
     if (startedAt > 0) e.startedAt = startedAt;
-    if (state == ServerState::Gone)
+    if (state == EndpointState::Removed)
       list.erase(server);
     else
       list[server] = e;
-    ListNews n;
-    n.mode = ListMode::Delta;
-    n.entries = {e};
+    EndpointListUpdate n;
+    n.kind = EndpointListKind::Delta;
+    n.endpoints = {e};
     return feed({n});
   }
 
   std::vector<Action> feed(const std::vector<Event>& events) {
     for (const Event& e : events) {
-      if (const auto* c = std::get_if<SliceCharge>(&e)) {
-        if (c->given)
+      if (const auto* c = std::get_if<SliceAssignment>(&e)) {
+        if (c->assigned)
           charge.insert(c->slice);
         else
           charge.erase(c->slice);
       }
     }
-    const std::vector<Action> out = director.handle(now, events);
+    const std::vector<Action> out = engine.handle(now, events);
     bool wrote = false;
     for (const Action& a : out) {
-      if (const auto* line = std::get_if<SetLine>(&a)) {
+      if (const auto* line = std::get_if<SetRoute>(&a)) {
         wrote = true;
         ++linesSent;
         if (charge.count(line->table) == 0) strayOrders.insert(line->table);
@@ -134,30 +134,31 @@
         else
           lines.erase(line->server);
       }
-      if (const auto* pull = std::get_if<Withdraw>(&a)) {
+      if (const auto* pull = std::get_if<SetEjection>(&a)) {
         wrote = true;
-        withdraw(pull->server, pull->out);
-        pulls += pull->out;
+        withdraw(pull->server, pull->state == EjectionState::Ejected);
+        pulls += pull->state == EjectionState::Ejected;
       }
-      if (const auto* probe = std::get_if<Probe>(&a)) {
+      if (const auto* probe = std::get_if<HealthCheck>(&a)) {
         ++probes[probe->server];
         const bool there = list.count(probe->server) > 0 && ghosts.count(probe->server) == 0;
-        answers.push_back(
-            ProbeResult{probe->server, there ? ProbeOutcome::Answered : ProbeOutcome::Unreachable, kMs});
+        answers.push_back(HealthCheckResult{
+            probe->server, there ? HealthCheckOutcome::Passed : HealthCheckOutcome::Unreachable, kMs});
       }
-      if (const auto* admit = std::get_if<Admit>(&a)) {
+      if (const auto* admit = std::get_if<SetAdmission>(&a)) {
         wrote = true;
         for (int c = 0; c < 3; ++c) {
           if ((admit->classMask & (1u << c)) == 0) continue;
-          levels[{admit->table, c}] = admit->level;
-          tries[{admit->table, c}] = admit->secondTry;
+          levels[{admit->table, c}] = admit->ratio;
+          tries[{admit->table, c}] = admit->retryPolicy;
         }
       }
-      if (const auto* mark = std::get_if<Mark>(&a)) {
-        for (int p = 0; p < 3 && confirming; ++p) answers.push_back(OrderApplied{p, mark->mark, kMs});
+      if (const auto* mark = std::get_if<AcknowledgementRequest>(&a)) {
+        for (int p = 0; p < 3 && confirming; ++p)
+          answers.push_back(UpdateAcknowledged{p, mark->updateId, kMs});
       }
       if (const auto* log = std::get_if<Log>(&a)) logs.push_back(log->text);
-      if (std::get_if<WatchList>(&a) != nullptr) watchedAt.push_back(now);
+      if (std::get_if<WatchEndpoints>(&a) != nullptr) watchedAt.push_back(now);
     }
     if (wrote) messagesAt.push_back(now);
     return out;
@@ -215,8 +216,8 @@
       for (int c = 0; c < 3; ++c) {
         const double rate = rates.count({t, c}) > 0 ? rates[{t, c}] : c == 0 ? 10 : 0;
         const double level = levels.count({t, c}) > 0 ? levels[{t, c}] : 1;
-        const auto n = static_cast<std::int64_t>(rate * settings.reportEvery / kSecond);
-        if (n > 0) ev.push_back(SliceDemand{t, c, n, 0, settings.reportEvery});
+        const auto n = static_cast<std::int64_t>(rate * settings.reportInterval / kSecond);
+        if (n > 0) ev.push_back(SliceLoadReport{t, c, n, 0, settings.reportInterval});
         sent[home(t)] += static_cast<double>(n) * level;
       }
     }
@@ -229,23 +230,23 @@
         if (slowFrom.count({server, zone}) > 0) took += slowFrom[{server, zone}];
         const auto failed = static_cast<std::int64_t>(static_cast<double>(mine) * share + 0.5);
         ev.push_back(
-            ServerReport{zone, server, mine, failed, failed < mine ? took : 0, settings.reportEvery});
+            ServerLoadReport{zone, server, mine, failed, failed < mine ? took : 0, settings.reportInterval});
       }
     }
   }
   void bad(const std::string& server, double share) { badShare[{server, 0}] = badShare[{server, 1}] = share; }
 
   Settings settings;
-  Director director;
+  DecisionEngine engine;
   Micros now = 1000 * kSecond;
-  std::map<std::string, ServerEntry> list;
+  std::map<std::string, Endpoint> list;
   std::map<TableId, std::map<std::string, double>> tables, shut;  // shut: lines to withdrawn servers
   std::set<std::string> withdrawn, ghosts;                        // ghosts are listed and answer nothing
   std::map<std::string, int> probes;
   std::vector<Event> answers;  // to probes and marks, for the next step
   bool confirming = true;
   std::map<std::pair<TableId, int>, double> levels, rates;
-  std::map<std::pair<TableId, int>, SecondTry> tries;
+  std::map<std::pair<TableId, int>, RetryPolicy> tries;
   std::map<std::string, Micros> latency;
   std::map<std::pair<std::string, int>, double> badShare;
   std::map<std::pair<std::string, int>, Micros> slowFrom;  // what the way from a zone adds
@@ -254,7 +255,7 @@
   int linesSent = 0, pulls = 0;
   std::set<TableId> charge, strayOrders;
   bool reporting = true;
-  ListNews oldList;
+  EndpointListUpdate oldList;
 };
 
 }  // namespace peargrade
--- a/tests/support/server_list.h
+++ b/tests/support/server_list.h
@@ -8,13 +8,13 @@
 namespace peargrade {
 
 // The state of each server that is listed.
-inline std::map<ServerId, ServerState> serverList(const Seen& seen) {
-  std::map<ServerId, ServerState> all;
-  for (const ListNews& news : seen.all<ListNews>()) {
-    if (news.mode == ListMode::Full) all.clear();
-    for (const ServerEntry& e : news.entries) {
+inline std::map<ServerId, EndpointState> serverList(const Seen& seen) {
+  std::map<ServerId, EndpointState> all;
+  for (const EndpointListUpdate& news : seen.all<EndpointListUpdate>()) {
+    if (news.kind == EndpointListKind::Full) all.clear();
+    for (const Endpoint& e : news.endpoints) {
       all[e.server] = e.state;
-      if (e.state == ServerState::Gone) all.erase(e.server);
+      if (e.state == EndpointState::Removed) all.erase(e.server);
     }
   }
   return all;
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -53,24 +53,24 @@
   const auto& n = std::get<NewInstance>(b.groups[0].input[0]);
   EXPECT_EQ(n.seed, 18446744073709551615ull);
   ASSERT_EQ(n.settings.classes.size(), 2u);
-  EXPECT_EQ(n.settings.classes[0].aim, 800000);
-  EXPECT_EQ(n.settings.classes[0].worth, 1.5);
-  EXPECT_EQ(n.settings.classes[1].effect, Effect::ByKey);
-  EXPECT_EQ(n.settings.classes[1].dedupScope, DedupScope::Cell);
-  EXPECT_FALSE(n.settings.classes[0].write);
-  EXPECT_TRUE(n.settings.classes[1].write);
+  EXPECT_EQ(n.settings.classes[0].latencyObjective, 800000);
+  EXPECT_EQ(n.settings.classes[0].priorityWeight, 1.5);
+  EXPECT_EQ(n.settings.classes[1].idempotency, Idempotency::WithIdempotencyKey);
+  EXPECT_EQ(n.settings.classes[1].deduplicationScope, DeduplicationScope::Cell);
+  EXPECT_FALSE(n.settings.classes[0].isWrite);
+  EXPECT_TRUE(n.settings.classes[1].isWrite);
   EXPECT_EQ(n.settings.supervisors, 2);
-  EXPECT_TRUE(n.settings.listOnRequest);
-  EXPECT_TRUE(n.settings.listedWeights);
-  EXPECT_TRUE(n.settings.probesAllowed);
-  EXPECT_FALSE(n.settings.peerNotesAllowed);
+  EXPECT_TRUE(n.settings.endpointsOnRequest);
+  EXPECT_TRUE(n.settings.endpointsHaveWeights);
+  EXPECT_TRUE(n.settings.healthChecksAllowed);
+  EXPECT_FALSE(n.settings.gossipAllowed);
   EXPECT_EQ(n.settings.slices, 7);
   EXPECT_EQ(n.settings.messagesPerProxyMax, 20);
-  EXPECT_EQ(n.settings.linesPerSecond, 30800);
-  EXPECT_EQ(n.settings.levelUnit, LevelUnit::PerSecond);
-  EXPECT_EQ(n.settings.startCapacity, 0.15);
-  EXPECT_EQ(n.settings.warmAfter, 16000000);
-  EXPECT_FALSE(n.settings.goneIsAdvice) << "absent: gone binds";
+  EXPECT_EQ(n.settings.routesPerSecond, 30800);
+  EXPECT_EQ(n.settings.admissionUnit, AdmissionUnit::RequestsPerSecond);
+  EXPECT_EQ(n.settings.initialCapacity, 0.15);
+  EXPECT_EQ(n.settings.slowStartWindow, 16000000);
+  EXPECT_FALSE(n.settings.removalIsAdvisory) << "absent: gone binds";
 }
 
 TEST(Codec, GoneIsAdviceWhereItIsSet) {
@@ -79,71 +79,76 @@
   ASSERT_NE(info.find(rules), std::string::npos);
   info.insert(info.find(rules) + rules.size(), "\"goneIsAdvice\":true,");
   const Batch b = parseBatch(batch(R"({"newInstance":{"randomSeed":1,"info":)" + info + "}}"));
-  EXPECT_TRUE(std::get<NewInstance>(b.groups[0].input[0]).settings.goneIsAdvice);
+  EXPECT_TRUE(std::get<NewInstance>(b.groups[0].input[0]).settings.removalIsAdvisory);
 }
 
-TEST(Codec, ListNews) {
-  const auto news = only<ListNews>(
+TEST(Codec, EndpointListUpdate) {
+  const auto news = only<EndpointListUpdate>(
       R"({"peersKnown":{"mode":"disk","rev":41,"entries":[{"w":1.5,"server":"s_a","startedAtUs":61,"group":4,)"
       R"("rackZone":1,"sku":2,"health":"L"},{"server":"s_b","health":"D"}]}})");
-  EXPECT_EQ(news.mode, ListMode::Cached);
+  EXPECT_EQ(news.kind, EndpointListKind::Cached);
   EXPECT_EQ(news.version, 41);
-  ASSERT_EQ(news.entries.size(), 2u);
-  EXPECT_EQ(news.entries[0].server, "s_a");
-  EXPECT_EQ(news.entries[0].weight, 1.5);
-  EXPECT_EQ(news.entries[0].startedAt, 61);
-  EXPECT_EQ(news.entries[0].cell, 4);
-  EXPECT_EQ(news.entries[0].zone, 1);
-  EXPECT_EQ(news.entries[0].kind, 2);
-  EXPECT_EQ(news.entries[0].state, ServerState::Draining);
-  EXPECT_EQ(news.entries[1].state, ServerState::Gone);
-  EXPECT_EQ(news.entries[1].startedAt, 0);
-  EXPECT_EQ(only<ListNews>(R"({"peersKnown":{"mode":"error"}})").mode, ListMode::Failed);
+  ASSERT_EQ(news.endpoints.size(), 2u);
+  EXPECT_EQ(news.endpoints[0].server, "s_a");
+  EXPECT_EQ(news.endpoints[0].weight, 1.5);
+  EXPECT_EQ(news.endpoints[0].startedAt, 61);
+  EXPECT_EQ(news.endpoints[0].cell, 4);
+  EXPECT_EQ(news.endpoints[0].zone, 1);
+  EXPECT_EQ(news.endpoints[0].kind, 2);
+  EXPECT_EQ(news.endpoints[0].state, EndpointState::Draining);
+  EXPECT_EQ(news.endpoints[1].state, EndpointState::Removed);
+  EXPECT_EQ(news.endpoints[1].startedAt, 0);
+  EXPECT_EQ(only<EndpointListUpdate>(R"({"peersKnown":{"mode":"error"}})").kind, EndpointListKind::Failed);
 }
 
 TEST(Codec, ReportsAndStreams) {
-  const auto r = only<ServerReport>(
+  const auto r = only<ServerLoadReport>(
       R"({"upstreamStats":{"rackZone":2,"server":"s_a","total":14,"bad":1,"durationUs":48250,"windowUs":1000000}})");
   EXPECT_EQ(r.zone, 2);
-  EXPECT_EQ(r.tries, 14);
-  EXPECT_EQ(r.failed, 1);
-  EXPECT_EQ(r.latency, 48250);
+  EXPECT_EQ(r.attempts, 14);
+  EXPECT_EQ(r.failures, 1);
+  EXPECT_EQ(r.meanLatency, 48250);
   EXPECT_EQ(r.window, 1000000);
-  const auto d = only<SliceDemand>(R"({"activity":{"total":9,"tbl":6,"bad":2,"windowUs":500000,"cls":1}})");
+  const auto d =
+      only<SliceLoadReport>(R"({"activity":{"total":9,"tbl":6,"bad":2,"windowUs":500000,"cls":1}})");
   EXPECT_EQ(d.requests, 9);
   EXPECT_EQ(d.slice, 6);
-  EXPECT_EQ(d.cls, 1);
+  EXPECT_EQ(d.requestClass, 1);
   const auto u =
-      only<ProxyDemand>(R"({"usage":{"sidecar":41,"cls":0,"bad":1,"total":9,"windowUs":2000000}})");
+      only<ProxyLoadReport>(R"({"usage":{"sidecar":41,"cls":0,"bad":1,"total":9,"windowUs":2000000}})");
   EXPECT_EQ(u.proxy, 41);
   EXPECT_EQ(u.requests, 9);
-  const auto joined = only<ProxyJoined>(R"({"enrolled":{"sidecar":41,"rackZone":1,"w":6.5,"on":true}})");
+  const auto joined = only<ProxyConnected>(R"({"enrolled":{"sidecar":41,"rackZone":1,"w":6.5,"on":true}})");
   EXPECT_EQ(joined.zone, 1);
-  EXPECT_EQ(joined.usualRate, 6.5);
-  EXPECT_TRUE(joined.fresh);
-  EXPECT_EQ(only<ProxyLeft>(R"({"parted":{"sidecar":41}})").proxy, 41);
-  EXPECT_EQ(only<OrderApplied>(R"({"tookEffect":{"sidecar":1,"rev":9,"durationUs":5}})").mark, 9);
+  EXPECT_EQ(joined.expectedRequestRate, 6.5);
+  EXPECT_TRUE(joined.newIncarnation);
+  EXPECT_EQ(only<ProxyDisconnected>(R"({"parted":{"sidecar":41}})").proxy, 41);
+  EXPECT_EQ(only<UpdateAcknowledged>(R"({"tookEffect":{"sidecar":1,"rev":9,"durationUs":5}})").updateId, 9);
 }
 
 TEST(Codec, ChargeLinesTimersProbesNotes) {
-  EXPECT_TRUE(only<SliceCharge>(R"({"charge":{"tbl":3,"on":true}})").given);
-  EXPECT_FALSE(only<SliceCharge>(R"({"charge":{"tbl":3}})").given);  // a false mark may be left out
-  EXPECT_EQ(only<StoredLine>(R"({"onRecord":{"tbl":3,"server":"s_a","w":0.25}})").weight, 0.25);
+  EXPECT_TRUE(only<SliceAssignment>(R"({"charge":{"tbl":3,"on":true}})").assigned);
+  EXPECT_FALSE(only<SliceAssignment>(R"({"charge":{"tbl":3}})").assigned);  // a false mark may be left out
+  EXPECT_EQ(only<StoredRoute>(R"({"onRecord":{"tbl":3,"server":"s_a","w":0.25}})").weight, 0.25);
   EXPECT_EQ(only<TimerFired>(R"({"timeoutFired":{"handle":"sweep"}})").token, "sweep");
-  EXPECT_EQ(only<ProbeResult>(R"({"echo":{"server":"s_a","ending":1,"durationUs":7}})").outcome,
-            ProbeOutcome::Answered);
-  EXPECT_EQ(only<ProbeResult>(R"({"echo":{"server":"s_a","ending":0}})").outcome, ProbeOutcome::Error);
-  EXPECT_EQ(only<ProbeResult>(R"({"echo":{"server":"s_a","ending":5}})").outcome, ProbeOutcome::Broken);
-  EXPECT_EQ(only<PeerNote>(R"({"message":{"originPeer":1,"octets":"68690A"}})").bytes, "hi\n");
+  EXPECT_EQ(only<HealthCheckResult>(R"({"echo":{"server":"s_a","ending":1,"durationUs":7}})").outcome,
+            HealthCheckOutcome::Passed);
+  EXPECT_EQ(only<HealthCheckResult>(R"({"echo":{"server":"s_a","ending":0}})").outcome,
+            HealthCheckOutcome::Error);
+  EXPECT_EQ(only<HealthCheckResult>(R"({"echo":{"server":"s_a","ending":5}})").outcome,
+            HealthCheckOutcome::ConnectionLost);
+  EXPECT_EQ(only<GossipReceived>(R"({"message":{"originPeer":1,"octets":"68690A"}})").payload, "hi\n");
   EXPECT_TRUE(std::holds_alternative<Retire>(parseBatch(batch(R"({"retire":{}})")).groups[0].input[0]));
 }
 
 TEST(Codec, EveryActionAsTheWireWantsIt) {
   Reply reply{12,
               {{3,
-                {SetTimer{500000, "sweep"}, WatchList{true}, FetchList{}, Probe{"s_a"}, TellPeers{"hi\n"},
-                 SetLine{117, "s_b", 0.75}, ClearTable{4}, Withdraw{"s_a", false},
-                 Admit{kAllTables, 2, 0.5, SecondTry::AfterProof}, Mark{7, true}, Log{"two \"known\""}}}}};
+                {SetTimer{500000, "sweep"}, WatchEndpoints{true}, PollEndpoints{}, HealthCheck{"s_a"},
+                 SendGossip{"hi\n"}, SetRoute{117, "s_b", 0.75}, ClearTable{4},
+                 SetEjection{"s_a", EjectionState::Readmitted},
+                 SetAdmission{kAllTables, 2, 0.5, RetryPolicy::IfNotExecuted},
+                 AcknowledgementRequest{7, true}, Log{"two \"known\""}}}}};
   EXPECT_EQ(
       writeReply(reply),
       R"({"turn":12,"groups":[{"supervisor":3,"out":[{"schedule":{"waitUs":500000,"handle":"sweep"}},)"
--- a/tests/zone_server/follow_test.cpp
+++ b/tests/zone_server/follow_test.cpp
@@ -41,7 +41,7 @@
   discovery::Names names = testNames();
   exchange::Exchange exchange;
   op::Operator op;
-  ListNews known;
+  EndpointListUpdate known;
   std::vector<std::string> endpoints;
   std::mt19937 random{4};
   Seen seen;
@@ -85,17 +85,17 @@
         log.log.get(), [this] { return 1764600000 * kSecond + net::steadyNow() + ahead; }};
     sources =
         std::make_unique<sources::Sources>(around, [this] { return static_cast<std::uint32_t>(random()); });
-    exchange.carry({WatchList{true}});
+    exchange.carry({WatchEndpoints{true}});
   }
   const ZoneSource& zone() const { return sources->zones().front(); }
   std::set<ServerId> list() {
     seen.take(exchange);
     std::set<ServerId> all;
-    for (const ListNews& news : seen.all<ListNews>()) {
-      if (news.mode == ListMode::Full) all.clear();
-      for (const ServerEntry& e : news.entries) {
+    for (const EndpointListUpdate& news : seen.all<EndpointListUpdate>()) {
+      if (news.kind == EndpointListKind::Full) all.clear();
+      for (const Endpoint& e : news.endpoints) {
         all.insert(e.server);
-        if (e.state != ServerState::Ready) all.erase(e.server);
+        if (e.state != EndpointState::Ready) all.erase(e.server);
       }
     }
     return all;
@@ -209,7 +209,7 @@
     loop.until([&] { return false; }, kSecond / 20);
     site.ahead += 6 * kSecond;
     site.sources->explain();
-    site.sources->roster({ListMode::Failed, 0, {}}, {});
+    site.sources->roster({EndpointListKind::Failed, 0, {}}, {});
   }
   EXPECT_EQ(site.list().size(), 1u);
   primary.down(false);
--- a/tests/zone_server/zones_test.cpp
+++ b/tests/zone_server/zones_test.cpp
@@ -69,7 +69,7 @@
     ADD_FAILURE() << endpoint;
     return membership::Sighting{};
   };
-  EXPECT_EQ(find(at(1), 0).state, ServerState::Draining);
+  EXPECT_EQ(find(at(1), 0).state, EndpointState::Draining);
   EXPECT_EQ(find(at(1), 0).zone, 1);
   EXPECT_EQ(find(at(1), 0).cell, 4);
   EXPECT_EQ(find(at(2), 0).startedAt, 1764600000123000);
@@ -85,7 +85,7 @@
     const dns_zone::Zone z = read(zoneText(1, servers(1, 2) + "bello-1 TXT " + texts + "\n"));
     const auto o = observeZone(z, {"_o._tcp.example.org"}, locality::LocalityMap({everywhere()}, testNames()),
                                testNames(), 0, 1, 9);
-    EXPECT_EQ(o.observation.seen.at(0).state, ServerState::Draining);
+    EXPECT_EQ(o.observation.seen.at(0).state, EndpointState::Draining);
   }
 }
 
@@ -199,7 +199,7 @@
   exchange::Exchange exchange;
   Seen seen;
   op::Operator op;
-  ListNews known;
+  EndpointListUpdate known;
   std::vector<std::string> endpoints;
   Micros now = 1764600000 * kSecond;
   std::mt19937 random{4};
@@ -255,14 +255,14 @@
         &endpoints,      &exchange, log.log.get(), [this] { return now + net::steadyNow() - began; }};
     sources =
         std::make_unique<sources::Sources>(around, [this] { return static_cast<std::uint32_t>(random()); });
-    exchange.carry({WatchList{true}});
+    exchange.carry({WatchEndpoints{true}});
     ASSERT_TRUE(loop.until([&] {
       const ZoneSource& z = sources->zones().front();
       return z.ready() && (!op.zones[0].listen || z.address());
     }));
   }
   const Micros began = net::steadyNow();
-  std::map<ServerId, ServerState> list() {
+  std::map<ServerId, EndpointState> list() {
     seen.take(exchange);
     return serverList(seen);
   }
@@ -306,7 +306,7 @@
   ASSERT_TRUE(loop.until([&] { return list().count(at(7)) == 1; }));
   EXPECT_EQ(list().count(at(0)), 0u);
   file(zoneText(3, servers(1, 8) + "bello-7 TXT \"state=draining\"\n"));
-  ASSERT_TRUE(loop.until([&] { return list().at(at(7)) == ServerState::Draining; }));
+  ASSERT_TRUE(loop.until([&] { return list().at(at(7)) == EndpointState::Draining; }));
 }
 
 TEST_F(Zones, AHalfWrittenReplacedOrVanishedFileLeavesTheOldZoneInForce) {
@@ -499,14 +499,14 @@
   EXPECT_EQ(update(script), 0);
   ASSERT_TRUE(listed(6));
   EXPECT_EQ(update("add bello-1 60 TXT state=draining\n"), 0);
-  ASSERT_TRUE(loop.until([&] { return list().at(at(1)) == ServerState::Draining; }));
+  ASSERT_TRUE(loop.until([&] { return list().at(at(1)) == EndpointState::Draining; }));
   const std::int64_t startMs = now / 1000;
   EXPECT_EQ(update(add(7) + "add bello-7 60 TXT started=" + std::to_string(startMs) + "\n"), 0);
   ASSERT_TRUE(loop.until([&] { return list().count(at(7)) == 1; }));
   const auto entry = [&](const std::string& id) {
-    ServerEntry found;
-    for (const ListNews& news : seen.all<ListNews>()) {
-      for (const ServerEntry& e : news.entries) {
+    Endpoint found;
+    for (const EndpointListUpdate& news : seen.all<EndpointListUpdate>()) {
+      for (const Endpoint& e : news.endpoints) {
         if (e.server == id) found = e;
       }
     }
@@ -517,10 +517,10 @@
   EXPECT_EQ(update("delete bello-1 TXT\n" + add(1) + add(7)), 0);
   EXPECT_EQ(update(add(8)), 0);
   ASSERT_TRUE(loop.until([&] { return list().count(at(8)) == 1; }));
-  EXPECT_EQ(list().at(at(1)), ServerState::Draining) << "it did not start anew";
+  EXPECT_EQ(list().at(at(1)), EndpointState::Draining) << "it did not start anew";
   EXPECT_EQ(entry(at(7)).startedAt, startMs * 1000);
   EXPECT_EQ(update("add bello-1 60 TXT started=" + std::to_string(startMs + 3600000) + "\n"), 0);
-  ASSERT_TRUE(loop.until([&] { return list().at(at(1)) == ServerState::Ready; }));
+  ASSERT_TRUE(loop.until([&] { return list().at(at(1)) == EndpointState::Ready; }));
 }
 
 // Found by the rolling deploy below: a drain and its taking back came to the disk together, and the drain was
@@ -533,7 +533,7 @@
   Client client(loop.base.get(), *sources->zones().front().address());
   client.udp->send(request("add bello-1 60 TXT state=draining\n", key()));
   client.udp->send(request("delete bello-1 TXT\n" + add(1), key()));
-  ASSERT_TRUE(loop.until([&] { return list().at(at(1)) == ServerState::Draining; }));
+  ASSERT_TRUE(loop.until([&] { return list().at(at(1)) == EndpointState::Draining; }));
 }
 
 // What was there before the program started is not cold because it started; what came a moment before it
@@ -548,8 +548,8 @@
   ASSERT_TRUE(listed(2));
   const auto startOf = [&](int k) {
     Micros found = -1;
-    for (const ListNews& news : seen.all<ListNews>()) {
-      for (const ServerEntry& e : news.entries) {
+    for (const EndpointListUpdate& news : seen.all<EndpointListUpdate>()) {
+      for (const Endpoint& e : news.endpoints) {
         if (e.server == at(k)) found = e.startedAt;
       }
     }
@@ -570,11 +570,11 @@
   start();
   EXPECT_EQ(update(add(0)), 0);
   ASSERT_TRUE(listed(1));
-  const std::size_t before = seen.all<ListNews>().size();
+  const std::size_t before = seen.all<EndpointListUpdate>().size();
   Client client(loop.base.get(), *sources->zones().front().address());
   for (int k = 1; k < 60; ++k) client.udp->send(request(add(k), key()));
   ASSERT_TRUE(listed(60));
-  EXPECT_LE(seen.all<ListNews>().size() - before, 12u) << "59 updates";
+  EXPECT_LE(seen.all<EndpointListUpdate>().size() - before, 12u) << "59 updates";
 }
 
 }  // namespace
