--- a/tests/decision/recorded_stream.cpp
+++ b/tests/decision/recorded_stream.cpp
@@ -247,7 +247,10 @@
       reportSlice(table, slice, offered);
     }
     if (settings_.slices == 0) reportProxies(offered);
-    for (auto& [id, rates] : offered) reportServer(id, rates);
+    if (deployment_.erraticReports)
+      reportErratically();
+    else
+      for (auto& [id, rates] : offered) reportServer(id, rates);
     if (random_.chance(0.05))
       outbox_.emplace_back(
           ServerLoadReport{0, "unknown", 50, 10, 90 * kMillisecond, settings_.reportInterval});
@@ -315,6 +318,26 @@
     }
   }
 
+  // Reports that no model explains: few attempts, latencies and failures that wander over all thresholds.
+  void reportErratically() {
+    for (auto& [id, server] : servers_) {
+      if (!server.running || listed_.count(id) == 0) continue;
+      if (random_.chance(0.15)) server.speed = random_.between(0.05, 1.2);
+      if (random_.chance(0.1)) server.errorShare = random_.chance(0.6) ? 0 : random_.between(0, 1);
+      for (int zone = 0; zone < deployment_.zones; ++zone) {
+        const bool remote = zone == slowZone_ && server.entry.zone != zone;
+        const std::int64_t attempts = random_.below(7);
+        const double errors = std::min(1.0, server.errorShare + (remote ? pathLoss_ : 0.0));
+        const auto failed =
+            static_cast<std::int64_t>(errors * static_cast<double>(attempts) + random_.uniform());
+        const double latency = 0.05 / server.speed + (remote ? pathDelay_ : 0.0);
+        const auto mean = static_cast<Micros>(latency * static_cast<double>(kSecond));
+        outbox_.emplace_back(ServerLoadReport{zone, id, attempts, std::min(failed, attempts),
+                                              failed < attempts ? mean : 0, settings_.reportInterval});
+      }
+    }
+  }
+
   double capacityOf(const SimulatedServer& server) const {
     const Micros age = now_ - server.entry.startedAt;
     const bool cold = server.entry.startedAt > 0 && age < settings_.slowStartWindow;
@@ -419,14 +442,14 @@
   void scheduleRoutine(Micros end) {
     scheduleTask(kStart + settings_.reportInterval, &SimulatedFleet::report);
     const std::vector<Task> incidents{
-        &SimulatedFleet::rollOne,    &SimulatedFleet::rollOne,   &SimulatedFleet::rollMany,
-        &SimulatedFleet::crashOne,   &SimulatedFleet::slowOne,   &SimulatedFleet::failOne,
-        &SimulatedFleet::failMostly, &SimulatedFleet::pathSlow,  &SimulatedFleet::burst,
-        &SimulatedFleet::burst,      &SimulatedFleet::killMost,  &SimulatedFleet::reannounce,
-        &SimulatedFleet::loseSlices, &SimulatedFleet::pathSlow,  &SimulatedFleet::cutOff,
-        &SimulatedFleet::spoil,      &SimulatedFleet::wrongList, &SimulatedFleet::fullList,
-        &SimulatedFleet::configure,  &SimulatedFleet::hotSlice,  &SimulatedFleet::failList,
-        &SimulatedFleet::loseZone};
+        &SimulatedFleet::rollOne,    &SimulatedFleet::rollOne,      &SimulatedFleet::rollMany,
+        &SimulatedFleet::crashOne,   &SimulatedFleet::slowOne,      &SimulatedFleet::failOne,
+        &SimulatedFleet::failMostly, &SimulatedFleet::growSilently, &SimulatedFleet::pathSlow,
+        &SimulatedFleet::burst,      &SimulatedFleet::burst,        &SimulatedFleet::killMost,
+        &SimulatedFleet::reannounce, &SimulatedFleet::loseSlices,   &SimulatedFleet::pathSlow,
+        &SimulatedFleet::cutOff,     &SimulatedFleet::spoil,        &SimulatedFleet::wrongList,
+        &SimulatedFleet::fullList,   &SimulatedFleet::configure,    &SimulatedFleet::hotSlice,
+        &SimulatedFleet::failList,   &SimulatedFleet::loseZone};
     std::size_t next = static_cast<std::size_t>(random_.below(static_cast<int>(incidents.size())));
     for (Micros at = kStart + 15 * kSecond; at < end; at += random_.delay(5 * kSecond, 28 * kSecond)) {
       scheduleTask(at, incidents[next]);
@@ -444,6 +467,19 @@
     scheduleTask(now_ + drainFor, &SimulatedFleet::finishDrains);
   }
 
+  // New servers are listed that answer nothing for a while, as others leave.
+  void growSilently() {
+    for (int k = 0; k < 6; ++k) {
+      const ServerId id = addServer(k % deployment_.zones, now_);
+      servers_[id].running = false;
+      announce(id);
+      healing_.insert({now_ + random_.delay(4 * kSecond, 20 * kSecond), id});
+    }
+    scheduleTask(healing_.rbegin()->first, &SimulatedFleet::heal);
+    replaceOne(kSecond);
+    replaceOne(2 * kSecond);
+  }
+
   void finishDrains() {
     while (!leaving_.empty() && leaving_.begin()->first <= now_) {
       const ServerId id = leaving_.begin()->second;
@@ -715,6 +751,11 @@
   quiet.firstList = 3 * kSecond;
   deployments.push_back(quiet);
 
+  Deployment erratic{"ErraticReports", sharedSlices(), 14, 3, 10, 40};
+  erratic.settings.slices = 80;
+  erratic.erraticReports = true;
+  deployments.push_back(erratic);
+
   Deployment proxies{"ProxyTables", sharedSlices(), 10, 2, 12, 0};
   proxies.settings.slices = 0;
   proxies.settings.attemptTimeoutObjectives = 1.5;
--- a/tests/decision/recorded_stream.h
+++ b/tests/decision/recorded_stream.h
@@ -18,9 +18,10 @@
   int servers = 16;
   int zones = 2;
   int proxies = 40;
-  int ownedSlices = 32;       // of settings.slices; 0 where tables are per proxy
-  double traffic = 1;         // requests of a slice against the usual ones
-  Micros firstList = 300000;  // from the start to the first endpoint list, in microseconds
+  int ownedSlices = 32;         // of settings.slices; 0 where tables are per proxy
+  double traffic = 1;           // requests of a slice against the usual ones
+  Micros firstList = 300000;    // from the start to the first endpoint list, in microseconds
+  bool erraticReports = false;  // load reports are drawn, not simulated
 };
 
 /// Deployments that differ in what decides on the module's paths: shared and single-owner slices, no slices,
