--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,49 +1,65 @@
-// The only place where the client side and the server side meet: events go in, the supervisor's actions come
-// out, and it is known here whether the supervisor can act. It knows no protocol and no socket.
+// Events and actions on their way between the protocols and the decision engine, without protocol or socket.
 #pragma once
 
 #include <functional>
 #include <utility>
 #include <vector>
 
-#include "peargrade/decision_engine.h"
+#include "peargrade/actions.h"
+#include "peargrade/events.h"
 
 namespace peargrade::dispatch {
 
+/// The only place where the client side, the server side and the engine meet. One for each supervisor, used
+/// on one thread.
 class Dispatcher {
  public:
-  // ---- Events, from either side to the supervisor ----
+  /// The actions of one update of the proxies in their order: SetRoute to AcknowledgementRequest.
+  using TableUpdate = std::vector<Action>;
+  enum class EndpointListRequest { Watch, Unwatch, Poll };
+
+  // ---- Events for the engine ----
+
+  /// Queues an event for the next batch. Called by every package that speaks a protocol.
   void post(Event event) { events_.push_back(std::move(event)); }
-  bool waiting() const { return !events_.empty(); }
+  bool hasEvents() const { return !events_.empty(); }
+  /// Takes the queued events, in the order they were posted.
   std::vector<Event> take() { return std::exchange(events_, {}); }
 
-  // ---- Actions, from the supervisor to the server side ----
-  using TableUpdate = std::vector<Action>;  // of one update, in order: SetRoute to AcknowledgementRequest
-  enum class EndpointListRequest { Watch, Unwatch, Poll };
+  // ---- Actions of the engine ----
+
+  /// Receives each table update; nullptr: none does, and updates are dropped. Set by the relay client.
   void onTableUpdate(std::function<void(const TableUpdate&)> sink) { tableUpdateSink_ = std::move(sink); }
+  /// Receives each request for the endpoint list; nullptr: none does. Set by discovery or the sources.
   void onEndpointListRequest(std::function<void(EndpointListRequest)> sink) {
     endpointListSink_ = std::move(sink);
   }
-  // Hands each action to its sink. Returns those that have no way out here: probes and notes to peers.
+  /// Passes the actions of one batch to their sinks: requests for the endpoint list as they come, then all
+  /// table actions as one update. Returns those without a sink, in their order.
   std::vector<Action> dispatch(const std::vector<Action>& actions);
 
-  // ---- Readiness ----
-  void relayConnected() { relay_ = true, tell(); }
-  void endpointListKnown() { endpointListKnown_ = true, tell(); }
-  void readinessTimedOut() {
-    relay_ = endpointListKnown_ = true, tell();
-  }  // a dead peer does not hold it up for long
-  bool ready() const { return relay_ && endpointListKnown_; }
-  void onReady(std::function<void()> told) { ready_ = std::move(told); }
+  // ---- Readiness: whether the supervisor can act ----
+
+  /// The watch of the relay is open.
+  void relayConnected();
+  /// The endpoint list has been received.
+  void endpointListKnown();
+  /// Neither is waited for any longer: an unavailable peer must not hold up readiness.
+  void readinessTimedOut();
+  bool ready() const { return relayConnected_ && endpointListKnown_; }
+  /// Called once, when the supervisor becomes ready.
+  void onReady(std::function<void()> sink) { readySink_ = std::move(sink); }
 
  private:
-  void tell();
+  bool dispatchEndpointListAction(const Action& action) const;
+  void notifyIfReady();
 
-  std::vector<Event> events_;  // emptied once a turn of the loop
+  std::vector<Event> events_;
   std::function<void(const TableUpdate&)> tableUpdateSink_;
   std::function<void(EndpointListRequest)> endpointListSink_;
-  std::function<void()> ready_;
-  bool relay_ = false, endpointListKnown_ = false;
+  std::function<void()> readySink_;
+  bool relayConnected_ = false;
+  bool endpointListKnown_ = false;
 };
 
 }  // namespace peargrade::dispatch
--- a/src/supervisor/node.cpp
+++ b/src/supervisor/node.cpp
@@ -100,7 +100,7 @@
   const Micros now = clock_.now();
   const auto next = supervisor_.nextTimer();
   const bool due = next && *next <= now;
-  if (!due && !dispatcher_.waiting()) {
+  if (!due && !dispatcher_.hasEvents()) {
     if (woken_) wakeAtNext();
     return;
   }
--- a/src/supervisor/node.h
+++ b/src/supervisor/node.h
@@ -38,7 +38,7 @@
   // One turn: what is due and what has come goes to the module as one batch. Cheap where there is nothing.
   void turn();
   // Events wait for the next turn: the loop should not.
-  bool waiting() const { return dispatcher_.waiting(); }
+  bool waiting() const { return dispatcher_.hasEvents(); }
   // Reads the configuration anew, as SIGHUP asks.
   void reload();
   // Writes each server with its sources and the rule that decides to the log, as SIGUSR1 asks.
--- a/tests/relay/call_connection_test.cpp
+++ b/tests/relay/call_connection_test.cpp
@@ -9,6 +9,9 @@
 namespace peargrade::relay {
 namespace {
 
+constexpr char kFirst[] = "APPLY put,7,s,1;fence,1,0\r\n";
+constexpr char kSecond[] = "APPLY put,7,s,2;fence,2,0\r\n";
+
 struct CallConnectionTest : RelayClientTest {
   fakes::ManualServer manualRelay;
   std::unique_ptr<fakes::ManualPeer> watch;
@@ -34,12 +37,17 @@
       return ::testing::AssertionSuccess();
     return ::testing::AssertionFailure() << (calls ? calls->read() : "no connection");
   }
+  // One update is accepted; its connection stays open.
+  void beginWithAcceptedUpdate() {
+    begin();
+    update({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
+    ASSERT_TRUE(receivesCall(kFirst));
+    calls->send("OK 2\r\n");
+    ASSERT_TRUE(until([&] { return wanted.empty(); }));
+  }
   std::vector<UpdateDelivery> deliveries() const { return seen.all<UpdateDelivery>(); }
 };
 
-constexpr char kFirst[] = "APPLY put,7,s,1;fence,1,0\r\n";
-constexpr char kSecond[] = "APPLY put,7,s,2;fence,2,0\r\n";
-
 // Bytes keep arriving, but never a complete line.
 TEST_F(CallConnectionTest, WatchThatNeverCompletesALineIsReconnected) {
   Limits limits;
@@ -68,11 +76,7 @@
 // The relay closes an idle connection just before a call is written, and the end is not read yet. Written
 // there, the call would have an unknown outcome for nothing.
 TEST_F(CallConnectionTest, CallIsNotWrittenToAConnectionThatWasJustClosed) {
-  begin();
-  update({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
-  ASSERT_TRUE(receivesCall(kFirst));
-  calls->send("OK 2\r\n");
-  ASSERT_TRUE(until([&] { return wanted.empty(); }));
+  ASSERT_NO_FATAL_FAILURE(beginWithAcceptedUpdate());
   for (const bool broken : {false, true}) {
     if (broken)
       calls->reset();
@@ -91,11 +95,7 @@
 
 // The close arrives after the call was written: its delivery is reported once, and nothing is repeated.
 TEST_F(CallConnectionTest, CallThatCrossesACloseIsReportedOnceAsIncomplete) {
-  begin();
-  update({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
-  ASSERT_TRUE(receivesCall(kFirst));
-  calls->send("OK 2\r\n");
-  ASSERT_TRUE(until([&] { return wanted.empty(); }));
+  ASSERT_NO_FATAL_FAILURE(beginWithAcceptedUpdate());
   dispatcher.dispatch({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});  // not repeated by the test
   calls->close();                                                         // the call is not read: a reset
   std::unique_ptr<fakes::ManualPeer> next;
@@ -110,11 +110,7 @@
 
 // The second copy of a reply would pass for the reply to the next call.
 TEST_F(CallConnectionTest, DuplicateReplyIsNotTakenForTheNextCall) {
-  begin();
-  update({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
-  ASSERT_TRUE(receivesCall(kFirst));
-  calls->send("OK 2\r\n");
-  ASSERT_TRUE(until([&] { return wanted.empty(); }));
+  ASSERT_NO_FATAL_FAILURE(beginWithAcceptedUpdate());
   calls->send("OK 2\r\n");
   update({SetRoute{7, "s", 2}, AcknowledgementRequest{2}});
   ASSERT_TRUE(receivesCall(kSecond)) << "on a new connection";
--- a/tests/relay/relay_client_fixture.h
+++ b/tests/relay/relay_client_fixture.h
@@ -48,9 +48,18 @@
     relay = std::make_unique<RelayClient>(loop.base.get(), fakeRelay.address(), names, 100, 1, dispatcher,
                                           *log.log, limits);
   }
+  // Starts with a short reply timeout and sends an update whose first call is not answered.
+  void startWithUnansweredCall() {
+    Limits limits;
+    limits.replyTimeout = 50000;
+    start(limits);
+    ASSERT_TRUE(untilWatches());
+    fakeRelay.faults = {Fault::Silent};
+    update({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
+  }
   bool until(const std::function<bool()>& holds) {
     return loop.until([&] {
-      turns += dispatcher.waiting() ? 1 : 0;
+      turns += dispatcher.hasEvents() ? 1 : 0;
       seen.take(dispatcher);
       handleDeliveries();
       return holds();
--- a/tests/relay/relay_client_test.cpp
+++ b/tests/relay/relay_client_test.cpp
@@ -35,7 +35,7 @@
   for (const char byte : lines) {
     fakeRelay.raw(std::string(1, byte));
     for (int k = 0; k < 4; ++k) event_base_loop(loop.base.get(), EVLOOP_NONBLOCK);
-    EXPECT_FALSE(dispatcher.waiting()) << "posted before the pause";
+    EXPECT_FALSE(dispatcher.hasEvents()) << "posted before the pause";
   }
   ASSERT_TRUE(until([&] { return otherEvents() == 3; }));
   EXPECT_EQ(turns, 1u);
@@ -71,12 +71,7 @@
 
 // The outcome is unknown; it is reported once the relay can be reached again.
 TEST_F(RelayClientTest, UnansweredCallIsReportedOnceANewConnectionIsUp) {
-  Limits limits;
-  limits.replyTimeout = 50000;
-  start(limits);
-  ASSERT_TRUE(untilWatches());
-  fakeRelay.faults = {Fault::Silent};
-  update({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
+  ASSERT_NO_FATAL_FAILURE(startWithUnansweredCall());
   ASSERT_TRUE(until([&] { return fakeRelay.orders.size() == 2; }));
   EXPECT_EQ(fakeRelay.calls, (std::vector<std::string>{"put,7,s,1;fence,1,0", "put,7,s,1;fence,1,0"}));
   EXPECT_TRUE(log.has("calls ended code=no-answer"));
--- a/tests/relay/relay_move_test.cpp
+++ b/tests/relay/relay_move_test.cpp
@@ -55,12 +55,7 @@
 }
 
 TEST_F(RelayClientTest, CallThatTheOldAddressNeverAnswersIsReportedAtTheNew) {
-  Limits limits;
-  limits.replyTimeout = 50000;
-  start(limits);
-  ASSERT_TRUE(untilWatches());
-  fakeRelay.faults = {Fault::Silent};
-  update({SetRoute{7, "s", 1}, AcknowledgementRequest{1}});
+  ASSERT_NO_FATAL_FAILURE(startWithUnansweredCall());
   ASSERT_TRUE(until([&] { return fakeRelay.calls.size() == 1; }));
   fakes::Relay next{loop.base.get()};
   relay->moveTo(next.address());
