--- a/scale/machinepart.cpp
+++ b/scale/machinepart.cpp
@@ -24,7 +24,7 @@
     Member& member = *members_.back();
     member.number = number;
     member.born = member.withoutSince = net::steadyNow();
-    member.node = std::make_unique<supervisor::Node>(
+    member.node = std::make_unique<supervisor::SupervisorInstance>(
         base, configOf(number), [this, number] { return configOf(number); }, log_, kDescriptors);
     member.node->onEvent([this, &member](const peargrade::Event& event) { onEvent(member, event); });
   }
@@ -47,7 +47,7 @@
 
 bool MachinePart::waiting() const {
   return std::any_of(members_.begin(), members_.end(),
-                     [](const auto& member) { return member->node->waiting(); });
+                     [](const auto& member) { return member->node->hasEvents(); });
 }
 
 void MachinePart::onEvent(Member& member, const peargrade::Event& event) {
--- a/scale/machinepart.h
+++ b/scale/machinepart.h
@@ -1,5 +1,5 @@
 // A control machine: the supervisors that run on it, hollow in that they share a process and a loop, and real
-// in all else: the Node that `peargrade serve` runs.
+// in all else: the SupervisorInstance that `peargrade serve` runs.
 #pragma once
 
 #include <memory>
@@ -7,7 +7,7 @@
 
 #include "scale/part.h"
 #include "scale/scenario.h"
-#include "supervisor/node.h"
+#include "supervisor/supervisor_instance.h"
 
 namespace peargrade::scale {
 
@@ -36,7 +36,7 @@
  private:
   struct Member {
     int number = 0;
-    std::unique_ptr<supervisor::Node> node;
+    std::unique_ptr<supervisor::SupervisorInstance> node;
     Micros born = 0;
     // Of its list.
     std::vector<std::pair<std::int64_t, Micros>> told;  // revisions, and when the module was given them
--- a/scale/report/rows.py
+++ b/scale/report/rows.py
@@ -133,9 +133,9 @@
 _NEWS = Mechanism("snapshot, then differences only", "src/relay/store_view.cpp")
 _ORDERS = Mechanism("incremental updates by urgency, never repeated", "src/rules.cpp")
 _REPORTS = Mechanism("windowed sums aggregated by a collector a zone", "src/clients/messages.cpp")
-_RELOAD = Mechanism("reload on SIGHUP: addresses, and settings where allowed", "src/supervisor/reload.cpp")
-_TURNS = Mechanism("batching: one turn of the module for all events", "src/supervisor/supervisor.cpp")
-_BOUNDS = Mechanism("bounded buffers, shares of the memory limit", "src/supervisor/serve.cpp")
+_RELOAD = Mechanism("reload on SIGHUP: addresses, and settings where allowed", "src/supervisor/config_reload.cpp")
+_TURNS = Mechanism("batching: one turn of the module for all events", "src/supervisor/engine_runner.cpp")
+_BOUNDS = Mechanism("bounded buffers, shares of the memory limit", "src/supervisor/memory_budget.h")
 _BACKOFF = Mechanism("exponential backoff with jitter", "src/rules.cpp")
 _PICK = Mechanism("weighted power of two choices; a reference, proxies are the platform's", "bench/pick_bench.cpp")
 
--- a/src/supervisor/clock.h
+++ b/src/supervisor/clock.h
@@ -1,25 +1,26 @@
+// The clock of a supervisor.
 #pragma once
 
 #include <chrono>
 
-#include "peargrade/decision_engine.h"
+#include "peargrade/types.h"
 
 namespace peargrade::supervisor {
 
-// Unix time in microseconds that never jumps: read once at the start, carried on by the steady clock. What
-// the list says of starts is in Unix time and so compares.
+/// Unix time in microseconds that never jumps: read once at the start and advanced by the steady clock. It
+/// compares with the start times of the endpoint list, which are Unix time.
 class Clock {
  public:
   Micros now() const {
-    const auto gone = std::chrono::steady_clock::now() - steadyStart_;
-    return start_ + std::chrono::duration_cast<std::chrono::microseconds>(gone).count();
+    const auto elapsed = std::chrono::steady_clock::now() - steadyStart_;
+    return unixStart_ + std::chrono::duration_cast<std::chrono::microseconds>(elapsed).count();
   }
 
  private:
   std::chrono::steady_clock::time_point steadyStart_ = std::chrono::steady_clock::now();
-  Micros start_ = std::chrono::duration_cast<std::chrono::microseconds>(
-                      std::chrono::system_clock::now().time_since_epoch())
-                      .count();
+  Micros unixStart_ = std::chrono::duration_cast<std::chrono::microseconds>(
+                          std::chrono::system_clock::now().time_since_epoch())
+                          .count();
 };
 
 }  // namespace peargrade::supervisor
--- /dev/null
+++ b/src/supervisor/config_reload.cpp
@@ -0,0 +1,109 @@
+#include "supervisor/config_reload.h"
+
+#include <algorithm>
+#include <optional>
+#include <utility>
+
+#include "config/takeover.h"
+#include "errors/parse_error.h"
+
+namespace peargrade::supervisor {
+namespace {
+
+/// As one line of the log.
+std::string oneLine(std::string text) {
+  std::replace(text.begin(), text.end(), '\n', ';');
+  return text;
+}
+
+}  // namespace
+
+ConfigReload::ConfigReload(event_base* base, config::Config inForce, Callbacks callbacks, log::Log& log,
+                           ReloadScope scope)
+    : inForce_(std::move(inForce)),
+      callbacks_(std::move(callbacks)),
+      log_(log),
+      scope_(scope),
+      retryTimer_(base, [this] { attempt(); }) {
+  if (includesSettings())
+    log_.info("supervisor") << "configuration in force: " << config::versionOf(inForce_);
+}
+
+void ConfigReload::request() {
+  state_ = State::FirstAttempt;
+  retryDelay_ = kRetryDelayMin;
+  attempt();
+}
+
+void ConfigReload::attempt() {
+  retryTimer_.cancel();
+  std::optional<config::Config> next;
+  try {
+    next = callbacks_.load();
+  } catch (const ParseError& error) {
+    return onUnreadable(oneLine(error.what()));
+  }
+  onLoaded(*next);
+}
+
+void ConfigReload::onLoaded(const config::Config& next) {
+  state_ = State::Idle;
+  if (!rejects(next)) accept(next);
+}
+
+void ConfigReload::onUnreadable(const std::string& problem) {
+  if (state_ == State::FirstAttempt) logUnreadable(problem);
+  if (retryDelay_ > kRetryDelayMax) {
+    state_ = State::Idle;
+    log_.warn("supervisor") << "giving up on the new configuration";
+    return;
+  }
+  state_ = State::RetryPending;
+  retryTimer_.in(retryDelay_);
+  retryDelay_ *= 2;
+}
+
+void ConfigReload::logUnreadable(const std::string& problem) {
+  if (!includesSettings()) {
+    log_.error("supervisor") << "new configuration unreadable, keeping the one in force: " << problem;
+    return;
+  }
+  log_.error("supervisor") << "new configuration rejected (" << config::code(config::Refusal::Unreadable)
+                           << "), keeping " << config::versionOf(inForce_) << ": " << problem;
+}
+
+bool ConfigReload::rejects(const config::Config& next) {
+  if (!includesSettings()) return false;
+  const auto objection = config::objection(inForce_, next);
+  if (!objection) return false;
+  log_.error("supervisor") << "new configuration rejected (" << config::code(objection->refusal)
+                           << "), keeping " << config::versionOf(inForce_) << ": "
+                           << oneLine(objection->what);
+  return true;
+}
+
+void ConfigReload::accept(const config::Config& next) {
+  warnOfRestartFields(next);
+  log_.info("supervisor") << "configuration read: discovery " << next.discovery.text() << ", relay "
+                          << next.relay.text();
+  inForce_.discovery = next.discovery;
+  inForce_.relay = next.relay;
+  if (includesSettings()) {
+    log_.info("supervisor") << "configuration in force: " << config::versionOf(next) << ", after "
+                            << config::versionOf(inForce_);
+    inForce_.settings = next.settings;
+    inForce_.settingsText = next.settingsText;
+    inForce_.version = next.version;
+    inForce_.content = next.content;
+  }
+  callbacks_.apply(inForce_);
+}
+
+void ConfigReload::warnOfRestartFields(const config::Config& next) {
+  for (const std::string& field : config::needRestart(inForce_, next)) {
+    if (includesSettings() && field == "settings") continue;
+    log_.warn("supervisor") << "new configuration: '" << field << "' takes effect at a restart only";
+  }
+}
+
+}  // namespace peargrade::supervisor
--- a/src/supervisor/serve.cpp
+++ b/src/supervisor/serve.cpp
@@ -12,49 +12,60 @@
 namespace peargrade::supervisor {
 namespace {
 
-constexpr Micros kEndWithin = 250000;  // of SIGTERM; a process that goes on is killed 0.7 s after it
-
-// As many as the system lets this process have.
-int descriptors() {
-  rlimit own{};
-  constexpr rlim_t kMost = std::numeric_limits<int>::max();
-  if (getrlimit(RLIMIT_NOFILE, &own) != 0 || own.rlim_cur == RLIM_INFINITY) return static_cast<int>(kMost);
-  return static_cast<int>(std::min(own.rlim_cur, kMost));
+/// The process ends so long after SIGTERM at the latest; it may be killed after 0.7 s.
+constexpr Micros kShutdownTimeout = 250000;
+
+/// File descriptors that the system lets this process have.
+int descriptorLimit() {
+  constexpr rlim_t kMax = std::numeric_limits<int>::max();
+  rlimit limit{};
+  const bool known = getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY;
+  return static_cast<int>(known ? std::min(limit.rlim_cur, kMax) : kMax);
+}
+
+void runUntilStopped(event_base* base, SupervisorInstance& instance, const Signals& signals, log::Log& log) {
+  while (!signals.stopping()) {
+    instance.turn();
+    log.flush();
+    event_base_loop(base, EVLOOP_ONCE | (instance.hasEvents() ? EVLOOP_NONBLOCK : 0));
+  }
+}
+
+/// Takes a last turn and waits, within a bound, until the relay has replied: decided updates must not be lost
+/// with the process.
+void finishUpdates(event_base* base, SupervisorInstance& instance) {
+  const Clock clock;
+  const Micros deadline = clock.now() + kShutdownTimeout;
+  net::Timer deadlineTimer(base, [] {});
+  instance.turn();
+  while (instance.busy() && clock.now() < deadline) {
+    deadlineTimer.in(deadline - clock.now());
+    event_base_loop(base, EVLOOP_ONCE);
+  }
+}
+
+void logCounts(const relay::UpdateCalls::Counts& counts, log::Log& log) {
+  log.info("supervisor") << "stopping; relay calls " << counts.calls << " for " << counts.updates
+                         << " updates, " << counts.undelivered << " undelivered, " << counts.confirmed
+                         << " confirmed by evidence, " << counts.commandsLost << " commands lost";
 }
 
 }  // namespace
 
-int serve(const config::Config& config, const std::function<config::Config()>& loadAgain, log::Log& log,
+int serve(const config::Config& config, const std::function<config::Config()>& loadConfig, log::Log& log,
           const op::Operator* op, const MakeSources& makeSources) {
   std::signal(SIGPIPE, SIG_IGN);
   const net::EventBase base = net::makeBase();
-  Node node(base.get(), config, loadAgain, log, descriptors(), op, makeSources);
+  SupervisorInstance instance(base.get(), config, loadConfig, log, descriptorLimit(), op, makeSources);
   Signals signals(base.get());
-  signals.onReload([&node] { node.reload(); });
-  signals.onExplain([&node] { node.explain(); });
+  signals.onReload([&instance] { instance.reload(); });
+  signals.onExplain([&instance] { instance.explain(); });
 
-  while (!signals.stopping()) {
-    node.turn();
-    log.flush();
-    event_base_loop(base.get(), EVLOOP_ONCE | (node.waiting() ? EVLOOP_NONBLOCK : 0));
-  }
-  // Guards against orders that are decided and go with the process: those of the last turn are given to the
-  // relay, and what it has in hand is finished, within a bound.
+  runUntilStopped(base.get(), instance, signals, log);
   log.info("supervisor") << "ending";
   log.flush();
-  const Clock clock;
-  const Micros end = clock.now() + kEndWithin;
-  net::Timer wake(base.get(), [] {});
-  node.turn();
-  while (node.busy() && clock.now() < end) {
-    wake.in(end - clock.now());
-    event_base_loop(base.get(), EVLOOP_ONCE);
-  }
-  const auto& counts = node.calls();
-  log.info("supervisor") << "stopping; relay calls " << counts.calls << " for " << counts.updates
-                         << " updates, " << counts.undelivered << " undelivered, "
-                         << counts.confirmed << " confirmed by evidence, " << counts.commandsLost
-                         << " commands lost";
+  finishUpdates(base.get(), instance);
+  logCounts(instance.calls(), log);
   return 0;
 }
 
--- a/src/supervisor/signals.cpp
+++ b/src/supervisor/signals.cpp
@@ -6,37 +6,42 @@
 namespace peargrade::supervisor {
 namespace {
 
-constexpr int kSignals[] = {SIGTERM, SIGINT, SIGHUP, SIGUSR1};
-
-void mask(int how) {
-  sigset_t all;
-  sigemptyset(&all);
-  for (const int number : kSignals) sigaddset(&all, number);
-  pthread_sigmask(how, &all, nullptr);
+constexpr std::array<int, 4> kSignals = {SIGTERM, SIGINT, SIGHUP, SIGUSR1};
+
+/// `how`: SIG_BLOCK or SIG_UNBLOCK.
+void setMask(int how) {
+  sigset_t signals;
+  sigemptyset(&signals);
+  for (const int number : kSignals) sigaddset(&signals, number);
+  pthread_sigmask(how, &signals, nullptr);
 }
 
 }  // namespace
 
-void Signals::hold() { mask(SIG_BLOCK); }
+void Signals::hold() { setMask(SIG_BLOCK); }
 
 Signals::Signals(event_base* base) {
-  hold();
-  for (std::size_t k = 0; k < std::size(kSignals); ++k) {
+  static_assert(kSignals.size() == kSignalCount);
+  setMask(SIG_BLOCK);
+  for (std::size_t k = 0; k < kSignals.size(); ++k) {
     handles_[k].reset(evsignal_new(base, kSignals[k], onSignal, this));
     if (!handles_[k]) throw std::bad_alloc();
     event_add(handles_[k].get(), nullptr);
   }
-  mask(SIG_UNBLOCK);
+  setMask(SIG_UNBLOCK);
 }
 
-// libevent puts the default back, and that would end the process amid its own end.
-Signals::~Signals() { hold(); }
+// libevent restores the default action, which would end the process during its own shutdown.
+Signals::~Signals() { setMask(SIG_BLOCK); }
 
 void Signals::onSignal(evutil_socket_t number, short, void* self) {
-  auto* signals = static_cast<Signals*>(self);
-  if (number == SIGTERM || number == SIGINT) signals->stopping_ = true;
-  if (number == SIGHUP && signals->reload_) signals->reload_();
-  if (number == SIGUSR1 && signals->explain_) signals->explain_();
+  static_cast<Signals*>(self)->handle(number);
+}
+
+void Signals::handle(int number) {
+  if (number == SIGTERM || number == SIGINT) stopping_ = true;
+  if (number == SIGHUP && reload_) reload_();
+  if (number == SIGUSR1 && explain_) explain_();
 }
 
 }  // namespace peargrade::supervisor
--- /dev/null
+++ b/src/supervisor/supervisor_instance.cpp
@@ -0,0 +1,127 @@
+#include "supervisor/supervisor_instance.h"
+
+#include <algorithm>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "supervisor/memory_budget.h"
+
+namespace peargrade::supervisor {
+namespace {
+
+/// Heartbeats are answered after so long, whatever peer is unavailable.
+constexpr Micros kReadinessTimeout = 1500000;
+/// File descriptors of the relay, discovery, loop and log, with some for connections that are ending.
+constexpr int kOwnDescriptors = 48;
+/// Connections of clients that are accepted, however few descriptors there are.
+constexpr int kConnectionsMin = 16;
+
+/// The settings that the engine gets: two of them depend on this program's protocols, whatever the file says.
+Settings effectiveSettings(Settings settings) {
+  settings.deliveryReported = true;    // src/relay reports each delivery
+  settings.endpointsOnRequest = true;  // discovery pushes only to those that watch
+  return settings;
+}
+
+ReloadScope reloadScope(const op::Operator* op) {
+  const bool settingsToo = op != nullptr && op->settingsReload;
+  return settingsToo ? ReloadScope::AddressesAndSettings : ReloadScope::Addresses;
+}
+
+clients::ReportServer::Limits clientLimits(const config::Config& config, int descriptors) {
+  clients::ReportServer::Limits limits;
+  const int granted = std::min(descriptors, config.limits.sockets);
+  limits.connections = static_cast<std::size_t>(std::max(kConnectionsMin, granted - kOwnDescriptors));
+  limits.held = MemoryBudget(config.limits.memoryMb).clientMessages;
+  return limits;
+}
+
+discovery::Discovery::Limits discoveryLimits(const config::Config& config) {
+  discovery::Discovery::Limits limits;
+  limits.body = MemoryBudget(config.limits.memoryMb).endpointList;
+  limits.line = std::min(limits.line, limits.body);
+  return limits;
+}
+
+relay::Limits relayLimits(const config::Config& config) {
+  relay::Limits limits;
+  limits.pendingCommandsMax = MemoryBudget(config.limits.memoryMb).pendingCommands;
+  return limits;
+}
+
+}  // namespace
+
+SupervisorInstance::SupervisorInstance(event_base* base, const config::Config& config,
+                                       std::function<config::Config()> loadConfig, log::Log& log,
+                                       int descriptors, const op::Operator* op,
+                                       const MakeSources& makeSources)
+    : config_(config),
+      log_(log),
+      engine_(config_.seed, effectiveSettings(config_.settings), dispatcher_, log),
+      reportServer_(base, config_.listen, config_.names, config_.settings.slices, dispatcher_, log,
+                    clientLimits(config_, descriptors)),
+      relay_(base, config_.relay, config_.names, config_.settings.slices, config_.seed, dispatcher_, log,
+             relayLimits(config_)),
+      configReload_(base, config_,
+                    {std::move(loadConfig), [this, scope = reloadScope(op)](
+                                                const config::Config& next) { applyConfig(next, scope); }},
+                    log, reloadScope(op)),
+      readinessTimer_(base, [this] { dispatcher_.readinessTimedOut(); }),
+      turnTimer_(base, [this] { turnTimerFired_ = true; }) {
+  if (op == nullptr || op->roster)
+    discovery_.emplace(base, config_.discovery, config_.names, config_.known.version, dispatcher_, log,
+                       discoveryLimits(config_));
+  if (makeSources) openSources(base, op, makeSources);
+  log_.info("supervisor") << config_.name << " serves at " << config_.listen.text() << ", "
+                          << config_.known.endpoints.size() << " servers known";
+  readinessTimer_.in(kReadinessTimeout);
+  dispatcher_.post(config_.known);
+}
+
+// With sources the list of discovery goes to them, and they post the merged one.
+void SupervisorInstance::openSources(event_base* base, const op::Operator* op,
+                                     const MakeSources& makeSources) {
+  sources_ = makeSources({base, op, &config_.names, &config_.known, &config_.knownEndpoints, &dispatcher_,
+                          &log_, [this] { return clock_.now(); }});
+  if (!discovery_) return;
+  discovery_->setListener(
+      [this](const EndpointListUpdate& update, const std::vector<std::string>& endpoints) {
+        sources_->roster(update, endpoints);
+      });
+}
+
+void SupervisorInstance::applyConfig(const config::Config& next, ReloadScope scope) {
+  if (discovery_) discovery_->moveTo(next.discovery);
+  relay_.moveTo(next.relay);
+  if (scope == ReloadScope::AddressesAndSettings)
+    dispatcher_.post(SettingsChanged{effectiveSettings(next.settings)});
+}
+
+void SupervisorInstance::turn() {
+  const Micros now = clock_.now();
+  const auto nextTimer = engine_.nextTimer();
+  const bool timerDue = nextTimer && *nextTimer <= now;
+  if (timerDue || dispatcher_.hasEvents()) {
+    engine_.turn(now);
+    scheduleNextTurn();
+  } else if (turnTimerFired_) {
+    scheduleNextTurn();  // the loop's timer fired a little before the engine's is due
+  }
+}
+
+void SupervisorInstance::scheduleNextTurn() {
+  turnTimerFired_ = false;
+  if (const auto nextTimer = engine_.nextTimer()) turnTimer_.in(*nextTimer - clock_.now());
+}
+
+void SupervisorInstance::reload() {
+  configReload_.request();
+  if (sources_) sources_->reload();
+}
+
+void SupervisorInstance::explain() {
+  if (sources_) sources_->explain();
+}
+
+}  // namespace peargrade::supervisor
--- a/tests/serve/serve_test.cpp
+++ b/tests/serve/serve_test.cpp
@@ -252,7 +252,7 @@
   const auto said = [&](const char* part) { return program.output().find(part) != std::string::npos; };
   write(first.substr(0, first.size() / 2));
   program.signal(SIGHUP);
-  ASSERT_TRUE(loop.until([&] { return said("new configuration left out, the old one holds"); }));
+  ASSERT_TRUE(loop.until([&] { return said("new configuration unreadable, keeping the one in force"); }));
   write(replaced(first, "\"address\"", "\"adress\""));
   program.signal(SIGHUP);
   ASSERT_TRUE(loop.until([&] { return said("relay: 'address' is missing"); })) << program.output();
@@ -276,7 +276,7 @@
   ASSERT_TRUE(loop.until([&] { return discovery2.watching() == 1 && relay2.watches == 1; }))
       << program.output();
   ASSERT_TRUE(loop.until([&] { return discovery.watching() == 0 && relay.open() == 0; }));
-  EXPECT_TRUE(said("'limits' is taken over by a restart only")) << program.output();
+  EXPECT_TRUE(said("'limits' takes effect at a restart only")) << program.output();
   discovery2.set("s1", "east", "DRAINING");
   ASSERT_TRUE(loop.until([&] {
     for (const auto& [host, weight] : relay2.slices[0]) {
@@ -344,12 +344,12 @@
   EXPECT_TRUE(said(program, "configuration in force: version 5 (content ")) << program.output();
   const std::string good = versioned(6, false);
   const std::pair<std::string, const char*> refused[] = {
-      {good.substr(0, good.size() / 2), "refused (unreadable), version 5 "},
-      {versioned(4, false), "refused (stale-version), version 5 "},
-      {versioned(5, false), "refused (same-version), version 5 "},
-      {replaced(good, "\"shards\": 8", "\"shards\": 9"), "refused (structure), version 5 "},
+      {good.substr(0, good.size() / 2), "rejected (unreadable), keeping version 5 "},
+      {versioned(4, false), "rejected (stale-version), keeping version 5 "},
+      {versioned(5, false), "rejected (same-version), keeping version 5 "},
+      {replaced(good, "\"shards\": 8", "\"shards\": 9"), "rejected (structure), keeping version 5 "},
       {replaced(good, "\"startCapacity\": 0.2", "\"startCapacity\": 2"),
-       "refused (out-of-range), version 5 "}};
+       "rejected (out-of-range), keeping version 5 "}};
   for (const auto& [text, line] : refused) {
     replace(file.path, text);
     program.signal(SIGHUP);
--- a/tests/supervisor/reload_test.cpp
+++ b/tests/supervisor/config_reload_test.cpp
@@ -1,6 +1,6 @@
-// A new configuration at SIGHUP: what is taken over, as a whole, and what is refused and why. The file is a
+// A new configuration at SIGHUP: what is taken over, as a whole, and what is rejected and why. The file is a
 // text in the test; no signal and no socket.
-#include "supervisor/reload.h"
+#include "supervisor/config_reload.h"
 
 #include <gtest/gtest.h>
 
@@ -14,11 +14,12 @@
 
 constexpr Micros kSecondMicros = 1000000;
 
-// What differs from one file of a test to the next.
+// A configuration file with the fields that tests change.
 struct File {
   std::string version = "7";  // "": the field is left out
   std::string relay = "127.2.0.2:6400";
-  std::string zones = R"(["a","b"])", kinds = R"(["m1"])";
+  std::string zones = R"(["a","b"])";
+  std::string kinds = R"(["m1"])";
   std::string classes =
       R"({"name":"lookup","aimUs":800000,"effect":"repeatable"},{"name":"order","aimUs":900000,"effect":"once"})";
   std::string extra = R"("shards":12,"proxyCount":5)";
@@ -30,7 +31,7 @@
            relay + R"("},"settings":{"classes":[)" + classes + R"(],"zones":)" + zones + R"(,"kinds":)" +
            kinds + R"(,"extra":{)" + extra + R"(},"rules":{)" + rules + "}}}";
   }
-  static File grace(int version, int seconds) {
+  static File withDrainGrace(int version, int seconds) {
     File file;
     file.version = std::to_string(version);
     file.rules = "\"drainGraceUs\":" + std::to_string(seconds) + "000000";
@@ -42,97 +43,99 @@
   return config::parse(text, [](const char*) { return std::nullopt; });
 }
 
-struct Taking {
+struct ReloadFixture {
   Loop loop;
   ReadLog log;
   std::string file = File().text();
   std::vector<config::Config> applied;
-  Reload reload;
+  ConfigReload reload;
 
-  explicit Taking(TakeOver takeOver = TakeOver::AddressesAndSettings, const File& first = File())
+  explicit ReloadFixture(ReloadScope scope = ReloadScope::AddressesAndSettings, const File& first = File())
       : file(first.text()),
         reload(
-            loop.base.get(), read(file), [this] { return read(file); },
-            [this](const config::Config& next) { applied.push_back(next); }, *log.log, takeOver) {}
+            loop.base.get(), read(file),
+            {[this] { return read(file); }, [this](const config::Config& next) { applied.push_back(next); }},
+            *log.log, scope) {}
 
-  void hangUp(const std::string& text) {
+  void requestReload(const std::string& text) {
     file = text;
-    reload.ask();
+    reload.request();
   }
-  Micros grace() const { return applied.empty() ? 0 : applied.back().settings.drainGrace; }
+  Micros drainGrace() const { return applied.empty() ? 0 : applied.back().settings.drainGrace; }
 };
 
-TEST(Reload, WhereItIsOffOnlyAddressesAreTakenAndNoVersionMeansAnything) {
-  Taking t(TakeOver::Addresses);
-  File next = File::grace(3, 9);
+TEST(ConfigReload, WithoutSettingsInScopeOnlyAddressesChangeAndVersionsAreIgnored) {
+  ReloadFixture t(ReloadScope::Addresses);
+  File next = File::withDrainGrace(3, 9);
   next.relay = "127.2.0.9:1";
-  t.hangUp(next.text());
+  t.requestReload(next.text());
   ASSERT_EQ(t.applied.size(), 1u);
   EXPECT_EQ(t.applied[0].relay.text(), "127.2.0.9:1");
-  EXPECT_EQ(t.grace(), 2000000);
-  EXPECT_TRUE(t.log.has("new configuration: 'settings' is taken over by a restart only"));
+  EXPECT_EQ(t.drainGrace(), 2000000);
+  EXPECT_TRUE(t.log.has("new configuration: 'settings' takes effect at a restart only"));
   next.version = "\"three\"";
-  t.hangUp(next.text());
+  t.requestReload(next.text());
   EXPECT_EQ(t.applied.size(), 2u);
   EXPECT_FALSE(t.log.has("in force")) << t.log.text;
-  EXPECT_FALSE(t.log.has("refused"));
+  EXPECT_FALSE(t.log.has("rejected"));
 }
 
-TEST(Reload, AddressesAndSettingsOfOneFileAreTakenTogetherAndTheVersionIsTold) {
-  Taking t;
+TEST(ConfigReload, AddressesAndSettingsAreTakenOverTogetherAndTheVersionIsLogged) {
+  ReloadFixture t;
   EXPECT_TRUE(t.log.has("configuration in force: version 7 (content ")) << "at the start";
-  File next = File::grace(8, 9);
+  File next = File::withDrainGrace(8, 9);
   next.relay = "127.2.0.9:1";
-  t.hangUp(next.text());
+  t.requestReload(next.text());
   ASSERT_EQ(t.applied.size(), 1u) << "once, with both";
   EXPECT_EQ(t.applied[0].relay.text(), "127.2.0.9:1");
-  EXPECT_EQ(t.grace(), 9000000);
+  EXPECT_EQ(t.drainGrace(), 9000000);
   EXPECT_TRUE(t.log.has("configuration in force: version 8 (content ")) << t.log.text;
   EXPECT_TRUE(t.log.has(", after version 7 (content "));
   EXPECT_FALSE(t.log.has("restart only"));
 }
 
-TEST(Reload, WithoutAVersionTheContentIsTold) {
+TEST(ConfigReload, WithoutAVersionTheContentHashIsLogged) {
   File first;
   first.version.clear();
-  Taking t(TakeOver::AddressesAndSettings, first);
+  ReloadFixture t(ReloadScope::AddressesAndSettings, first);
   EXPECT_TRUE(t.log.has("configuration in force: no version (content ")) << t.log.text;
-  File next = File::grace(0, 9);
+  File next = File::withDrainGrace(0, 9);
   next.version.clear();
-  t.hangUp(next.text());
-  EXPECT_EQ(t.grace(), 9000000);
-  t.hangUp(File::grace(1, 10).text());
-  EXPECT_EQ(t.grace(), 10000000) << "a first version may come";
-  t.hangUp(next.text());
-  EXPECT_TRUE(t.log.has("refused (wrong-version), version 1 (content ")) << t.log.text;
-  EXPECT_EQ(t.grace(), 10000000) << "one without a version behind it may be of any age";
+  t.requestReload(next.text());
+  EXPECT_EQ(t.drainGrace(), 9000000);
+  t.requestReload(File::withDrainGrace(1, 10).text());
+  EXPECT_EQ(t.drainGrace(), 10000000) << "a first version is accepted";
+  t.requestReload(next.text());
+  EXPECT_TRUE(t.log.has("rejected (wrong-version), keeping version 1 (content ")) << t.log.text;
+  EXPECT_EQ(t.drainGrace(), 10000000) << "a file without a version may be of any age";
 }
 
-// Guards against a file that is read while it is written: the old one holds, and the whole one is taken
-// without a further signal.
-TEST(Reload, AHalfWrittenFileIsRefusedAndReadAgainOnceItIsWhole) {
-  Taking t;
-  const std::string whole = File::grace(8, 9).text();
-  for (const std::size_t part : {std::size_t{0}, whole.size() / 3, whole.size() - 1}) {
-    t.hangUp(whole.substr(0, part));
+// The file is read while it is written: the old one stays, and the complete one is taken over without another
+// signal.
+TEST(ConfigReload, HalfWrittenFileIsRejectedAndReadAgainUntilComplete) {
+  ReloadFixture t;
+  const std::string complete = File::withDrainGrace(8, 9).text();
+  for (const std::size_t part : {std::size_t{0}, complete.size() / 3, complete.size() - 1}) {
+    t.requestReload(complete.substr(0, part));
     EXPECT_TRUE(t.applied.empty()) << part;
   }
-  EXPECT_EQ(t.log.count("new configuration refused (unreadable), version 7 (content "), 3u) << t.log.text;
-  t.file = whole;
+  EXPECT_EQ(t.log.count("new configuration rejected (unreadable), keeping version 7 (content "), 3u)
+      << t.log.text;
+  t.file = complete;
   ASSERT_TRUE(t.loop.until([&] { return !t.applied.empty(); }));
-  EXPECT_EQ(t.grace(), 9000000);
+  EXPECT_EQ(t.drainGrace(), 9000000);
 }
 
-TEST(Reload, AFileThatStaysWrongIsGivenUpAndTheLastGoodOneHolds) {
-  Taking t;
-  t.hangUp("{");
-  ASSERT_TRUE(t.loop.until([&] { return t.log.has("new configuration given up"); }));
+TEST(ConfigReload, FileThatStaysUnreadableIsGivenUpAndTheLastGoodOneStays) {
+  ReloadFixture t;
+  t.requestReload("{");
+  ASSERT_TRUE(t.loop.until([&] { return t.log.has("giving up on the new configuration"); }));
   EXPECT_TRUE(t.applied.empty());
-  t.hangUp(File::grace(8, 9).text());
-  EXPECT_EQ(t.grace(), 9000000) << "the next one is read as ever";
+  t.requestReload(File::withDrainGrace(8, 9).text());
+  EXPECT_EQ(t.drainGrace(), 9000000) << "the next one is read as usual";
 }
 
-struct Case {
+struct RejectedFile {
   const char* name;
   File file;
   const char* reason;
@@ -140,14 +143,14 @@
 };
 
 File withRules(const std::string& rules, const std::string& extra = File().extra) {
-  File file = File::grace(8, 9);
+  File file = File::withDrainGrace(8, 9);
   file.relay = "127.2.0.9:1";
   file.rules = rules;
   file.extra = extra;
   return file;
 }
 
-std::vector<Case> cases() {
+std::vector<RejectedFile> rejectedFiles() {
   File classes = withRules("");
   classes.classes = R"({"name":"order","aimUs":900000,"effect":"once"},{"name":"lookup","aimUs":800000,)"
                     R"("effect":"repeatable"})";
@@ -171,9 +174,9 @@
   below.version = "-1";
   return {
       {"ClassesInAnotherOrder", classes, "structure", {"settings.classes: stays"}},
-      {"AClassLess", fewer, "structure", {"settings.classes: stays"}},
+      {"FewerClasses", fewer, "structure", {"settings.classes: stays"}},
       {"ZonesAndKinds", names, "structure", {"settings.zones: stays", "settings.kinds: stays"}},
-      {"SlicesProxiesOwnersAndUnit",
+      {"SlicesProxiesOwnershipAndUnit",
        withRules("", R"("shards":13,"proxyCount":6,"oneOwner":true,"throttleBy":"per_second")"),
        "structure",
        {"settings.extra.shards: stays", "settings.extra.proxyCount: stays", "settings.extra.oneOwner: stays",
@@ -189,61 +192,62 @@
       {"StaleVersion", stale, "stale-version", {"version: 6 is older than 7"}},
       {"SameVersionOtherContent", same, "same-version", {"version: 7 is in force with other content"}},
       {"NoVersion", none, "wrong-version", {"version: is missing, and 7 is in force"}},
-      {"AWordForAVersion", word, "wrong-version", {"version: is no whole number"}},
-      {"AVersionBelowZero", below, "wrong-version", {"version: is no whole number"}},
+      {"VersionAsText", word, "wrong-version", {"version: is no whole number"}},
+      {"NegativeVersion", below, "wrong-version", {"version: is no whole number"}},
   };
 }
 
-class Refused : public testing::TestWithParam<Case> {};
+class RejectedConfig : public testing::TestWithParam<RejectedFile> {};
 
-TEST_P(Refused, AsAWholeWithItsReasonAndEachField) {
-  Taking t;
-  t.hangUp(GetParam().file.text());
+TEST_P(RejectedConfig, IsRejectedAsAWholeWithItsReasonAndEachField) {
+  ReloadFixture t;
+  t.requestReload(GetParam().file.text());
   EXPECT_TRUE(t.applied.empty()) << "not even its address";
-  const std::string line = std::string("new configuration refused (") + GetParam().reason + "), version 7 (";
+  const std::string line =
+      std::string("new configuration rejected (") + GetParam().reason + "), keeping version 7 (";
   EXPECT_EQ(t.log.count(line), 1u) << t.log.text;
   for (const std::string& field : GetParam().fields) EXPECT_TRUE(t.log.has(field)) << t.log.text;
-  t.hangUp(File::grace(8, 10).text());
-  EXPECT_EQ(t.grace(), 10000000) << "a good one of that number is taken after it";
+  t.requestReload(File::withDrainGrace(8, 10).text());
+  EXPECT_EQ(t.drainGrace(), 10000000) << "a good file with that version is accepted after it";
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Refused, testing::ValuesIn(cases()),
+INSTANTIATE_TEST_SUITE_P(All, RejectedConfig, testing::ValuesIn(rejectedFiles()),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(Reload, TheSameFileAgainIsTakenWithoutAWord) {
-  Taking t;
-  t.hangUp(t.file);
-  t.hangUp(t.file + "\n");
+TEST(ConfigReload, UnchangedFileIsAccepted) {
+  ReloadFixture t;
+  t.requestReload(t.file);
+  t.requestReload(t.file + "\n");
   EXPECT_EQ(t.applied.size(), 2u);
-  EXPECT_FALSE(t.log.has("refused")) << t.log.text;
+  EXPECT_FALSE(t.log.has("rejected")) << t.log.text;
 }
 
-// Property: of a burst of good, stale, wrong and half written files what is in force is the newest good one
-// that came in its turn, and the last of the burst is in force at its end.
-TEST(Reload, OfABurstTheLastIsInForceAndNoWrongOneEverIs) {
+// Property: of a burst of good, stale, wrong and half written files the latest good one is in force at any
+// time.
+TEST(ConfigReload, LastOfABurstIsInForceAndNoWrongOneEverIs) {
   const unsigned seed = std::random_device{}();
   std::cout << "seed " << seed << '\n';
   std::mt19937 random(seed);
-  Taking t;
+  ReloadFixture t;
   std::size_t good = 0;
   int inForce = 7;
   for (int k = 1; k < 100; ++k) {
     const int version = 7 + k;
-    const std::string whole = File::grace(version, version).text();
+    const std::string complete = File::withDrainGrace(version, version).text();
     const unsigned what = random() % 4;
-    if (what == 0) t.hangUp(whole.substr(0, random() % whole.size()));
-    if (what == 1) t.hangUp(File::grace(static_cast<int>(random() % 7), 1).text());
-    if (what == 2) t.hangUp(withRules("", R"("shards":13)").text());
+    if (what == 0) t.requestReload(complete.substr(0, random() % complete.size()));
+    if (what == 1) t.requestReload(File::withDrainGrace(static_cast<int>(random() % 7), 1).text());
+    if (what == 2) t.requestReload(withRules("", R"("shards":13)").text());
     if (what == 3) {
-      t.hangUp(whole);
+      t.requestReload(complete);
       ++good;
       inForce = version;
     }
     ASSERT_EQ(t.applied.size(), good) << "seed " << seed << ": " << t.log.text;
-    ASSERT_EQ(t.grace(), good > 0 ? inForce * kSecondMicros : 0) << "seed " << seed;
+    ASSERT_EQ(t.drainGrace(), good > 0 ? inForce * kSecondMicros : 0) << "seed " << seed;
   }
-  t.hangUp(File::grace(107, 107).text());
-  EXPECT_EQ(t.grace(), 107 * kSecondMicros);
+  t.requestReload(File::withDrainGrace(107, 107).text());
+  EXPECT_EQ(t.drainGrace(), 107 * kSecondMicros);
   EXPECT_TRUE(t.log.has("configuration in force: version 107 (content ")) << "seed " << seed;
 }
 
--- /dev/null
+++ b/tests/supervisor/log_test.cpp
@@ -0,0 +1,49 @@
+// The log: levels, a slow reader, and the codes of reasons.
+#include "log/log.h"
+
+#include <gtest/gtest.h>
+
+#include <set>
+#include <string>
+
+#include "support/loop.h"
+
+namespace peargrade::supervisor {
+namespace {
+
+TEST(Log, FiltersByLevelAndKeepsOneLineForEachMessage) {
+  ReadLog read;
+  log::Log filtered(read.ends[1], log::Level::Warn);
+  filtered.info("x") << "not this";
+  filtered.warn("x") << "this\r\nand \x01 that";
+  filtered.flush();
+  EXPECT_EQ(read.count("\n"), 1u);
+  EXPECT_TRUE(read.has(" warn x: this??and ? that\n")) << read.text;
+  EXPECT_EQ(log::levelNamed("warn"), log::Level::Warn);
+  EXPECT_FALSE(log::levelNamed("loud").has_value());
+}
+
+// Lines that a stalled reader does not take are dropped and counted.
+TEST(Log, StalledReaderLosesLinesAndBlocksNothing) {
+  ReadLog read;
+  for (int k = 0; k < 20000; ++k) {
+    read.log->info("x") << "line " << k << std::string(100, '.');
+    read.log->flush();
+  }
+  EXPECT_GT(read.log->dropped(), 10000u);
+  read.read();
+  read.log->info("x") << "after";
+  EXPECT_TRUE(read.has("lines lost to a slow reader"));
+  EXPECT_TRUE(read.has("x: after"));
+}
+
+TEST(Log, EveryReasonHasADistinctCode) {
+  std::set<std::string> codes;
+  for (int k = 0; k <= static_cast<int>(log::Reason::Stopping); ++k)
+    codes.insert(log::code(static_cast<log::Reason>(k)));
+  EXPECT_EQ(codes.size(), static_cast<std::size_t>(log::Reason::Stopping) + 1);
+  EXPECT_EQ(codes.count("unknown"), 0u);
+}
+
+}  // namespace
+}  // namespace peargrade::supervisor
