--- a/tests/supervisor/config_reload_test.cpp
+++ b/tests/supervisor/config_reload_test.cpp
@@ -65,74 +65,74 @@
 };
 
 TEST(ConfigReload, WithoutSettingsInScopeOnlyAddressesChangeAndVersionsAreIgnored) {
-  ReloadFixture t(ReloadScope::Addresses);
+  ReloadFixture fixture(ReloadScope::Addresses);
   File next = File::withDrainGrace(3, 9);
   next.relay = "127.2.0.9:1";
-  t.requestReload(next.text());
-  ASSERT_EQ(t.applied.size(), 1u);
-  EXPECT_EQ(t.applied[0].relay.text(), "127.2.0.9:1");
-  EXPECT_EQ(t.drainGrace(), 2000000);
-  EXPECT_TRUE(t.log.has("new configuration: 'settings' takes effect at a restart only"));
+  fixture.requestReload(next.text());
+  ASSERT_EQ(fixture.applied.size(), 1u);
+  EXPECT_EQ(fixture.applied[0].relay.text(), "127.2.0.9:1");
+  EXPECT_EQ(fixture.drainGrace(), 2000000);
+  EXPECT_TRUE(fixture.log.has("new configuration: 'settings' takes effect at a restart only"));
   next.version = "\"three\"";
-  t.requestReload(next.text());
-  EXPECT_EQ(t.applied.size(), 2u);
-  EXPECT_FALSE(t.log.has("in force")) << t.log.text;
-  EXPECT_FALSE(t.log.has("rejected"));
+  fixture.requestReload(next.text());
+  EXPECT_EQ(fixture.applied.size(), 2u);
+  EXPECT_FALSE(fixture.log.has("in force")) << fixture.log.text;
+  EXPECT_FALSE(fixture.log.has("rejected"));
 }
 
 TEST(ConfigReload, AddressesAndSettingsAreTakenOverTogetherAndTheVersionIsLogged) {
-  ReloadFixture t;
-  EXPECT_TRUE(t.log.has("configuration in force: version 7 (content ")) << "at the start";
+  ReloadFixture fixture;
+  EXPECT_TRUE(fixture.log.has("configuration in force: version 7 (content ")) << "at the start";
   File next = File::withDrainGrace(8, 9);
   next.relay = "127.2.0.9:1";
-  t.requestReload(next.text());
-  ASSERT_EQ(t.applied.size(), 1u) << "once, with both";
-  EXPECT_EQ(t.applied[0].relay.text(), "127.2.0.9:1");
-  EXPECT_EQ(t.drainGrace(), 9000000);
-  EXPECT_TRUE(t.log.has("configuration in force: version 8 (content ")) << t.log.text;
-  EXPECT_TRUE(t.log.has(", after version 7 (content "));
-  EXPECT_FALSE(t.log.has("restart only"));
+  fixture.requestReload(next.text());
+  ASSERT_EQ(fixture.applied.size(), 1u) << "once, with both";
+  EXPECT_EQ(fixture.applied[0].relay.text(), "127.2.0.9:1");
+  EXPECT_EQ(fixture.drainGrace(), 9000000);
+  EXPECT_TRUE(fixture.log.has("configuration in force: version 8 (content ")) << fixture.log.text;
+  EXPECT_TRUE(fixture.log.has(", after version 7 (content "));
+  EXPECT_FALSE(fixture.log.has("restart only"));
 }
 
 TEST(ConfigReload, WithoutAVersionTheContentHashIsLogged) {
   File first;
   first.version.clear();
-  ReloadFixture t(ReloadScope::AddressesAndSettings, first);
-  EXPECT_TRUE(t.log.has("configuration in force: no version (content ")) << t.log.text;
+  ReloadFixture fixture(ReloadScope::AddressesAndSettings, first);
+  EXPECT_TRUE(fixture.log.has("configuration in force: no version (content ")) << fixture.log.text;
   File next = File::withDrainGrace(0, 9);
   next.version.clear();
-  t.requestReload(next.text());
-  EXPECT_EQ(t.drainGrace(), 9000000);
-  t.requestReload(File::withDrainGrace(1, 10).text());
-  EXPECT_EQ(t.drainGrace(), 10000000) << "a first version is accepted";
-  t.requestReload(next.text());
-  EXPECT_TRUE(t.log.has("rejected (wrong-version), keeping version 1 (content ")) << t.log.text;
-  EXPECT_EQ(t.drainGrace(), 10000000) << "a file without a version may be of any age";
+  fixture.requestReload(next.text());
+  EXPECT_EQ(fixture.drainGrace(), 9000000);
+  fixture.requestReload(File::withDrainGrace(1, 10).text());
+  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a first version is accepted";
+  fixture.requestReload(next.text());
+  EXPECT_TRUE(fixture.log.has("rejected (wrong-version), keeping version 1 (content ")) << fixture.log.text;
+  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a file without a version may be of any age";
 }
 
 // The file is read while it is written: the old one stays, and the complete one is taken over without another
 // signal.
 TEST(ConfigReload, HalfWrittenFileIsRejectedAndReadAgainUntilComplete) {
-  ReloadFixture t;
+  ReloadFixture fixture;
   const std::string complete = File::withDrainGrace(8, 9).text();
   for (const std::size_t part : {std::size_t{0}, complete.size() / 3, complete.size() - 1}) {
-    t.requestReload(complete.substr(0, part));
-    EXPECT_TRUE(t.applied.empty()) << part;
+    fixture.requestReload(complete.substr(0, part));
+    EXPECT_TRUE(fixture.applied.empty()) << part;
   }
-  EXPECT_EQ(t.log.count("new configuration rejected (unreadable), keeping version 7 (content "), 3u)
-      << t.log.text;
-  t.file = complete;
-  ASSERT_TRUE(t.loop.until([&] { return !t.applied.empty(); }));
-  EXPECT_EQ(t.drainGrace(), 9000000);
+  EXPECT_EQ(fixture.log.count("new configuration rejected (unreadable), keeping version 7 (content "), 3u)
+      << fixture.log.text;
+  fixture.file = complete;
+  ASSERT_TRUE(fixture.loop.until([&] { return !fixture.applied.empty(); }));
+  EXPECT_EQ(fixture.drainGrace(), 9000000);
 }
 
 TEST(ConfigReload, FileThatStaysUnreadableIsGivenUpAndTheLastGoodOneStays) {
-  ReloadFixture t;
-  t.requestReload("{");
-  ASSERT_TRUE(t.loop.until([&] { return t.log.has("giving up on the new configuration"); }));
-  EXPECT_TRUE(t.applied.empty());
-  t.requestReload(File::withDrainGrace(8, 9).text());
-  EXPECT_EQ(t.drainGrace(), 9000000) << "the next one is read as usual";
+  ReloadFixture fixture;
+  fixture.requestReload("{");
+  ASSERT_TRUE(fixture.loop.until([&] { return fixture.log.has("giving up on the new configuration"); }));
+  EXPECT_TRUE(fixture.applied.empty());
+  fixture.requestReload(File::withDrainGrace(8, 9).text());
+  EXPECT_EQ(fixture.drainGrace(), 9000000) << "the next one is read as usual";
 }
 
 struct RejectedFile {
@@ -200,26 +200,26 @@
 class RejectedConfig : public testing::TestWithParam<RejectedFile> {};
 
 TEST_P(RejectedConfig, IsRejectedAsAWholeWithItsReasonAndEachField) {
-  ReloadFixture t;
-  t.requestReload(GetParam().file.text());
-  EXPECT_TRUE(t.applied.empty()) << "not even its address";
+  ReloadFixture fixture;
+  fixture.requestReload(GetParam().file.text());
+  EXPECT_TRUE(fixture.applied.empty()) << "not even its address";
   const std::string line =
       std::string("new configuration rejected (") + GetParam().reason + "), keeping version 7 (";
-  EXPECT_EQ(t.log.count(line), 1u) << t.log.text;
-  for (const std::string& field : GetParam().fields) EXPECT_TRUE(t.log.has(field)) << t.log.text;
-  t.requestReload(File::withDrainGrace(8, 10).text());
-  EXPECT_EQ(t.drainGrace(), 10000000) << "a good file with that version is accepted after it";
+  EXPECT_EQ(fixture.log.count(line), 1u) << fixture.log.text;
+  for (const std::string& field : GetParam().fields) EXPECT_TRUE(fixture.log.has(field)) << fixture.log.text;
+  fixture.requestReload(File::withDrainGrace(8, 10).text());
+  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a good file with that version is accepted after it";
 }
 
 INSTANTIATE_TEST_SUITE_P(All, RejectedConfig, testing::ValuesIn(rejectedFiles()),
                          [](const auto& info) { return std::string(info.param.name); });
 
 TEST(ConfigReload, UnchangedFileIsAccepted) {
-  ReloadFixture t;
-  t.requestReload(t.file);
-  t.requestReload(t.file + "\n");
-  EXPECT_EQ(t.applied.size(), 2u);
-  EXPECT_FALSE(t.log.has("rejected")) << t.log.text;
+  ReloadFixture fixture;
+  fixture.requestReload(fixture.file);
+  fixture.requestReload(fixture.file + "\n");
+  EXPECT_EQ(fixture.applied.size(), 2u);
+  EXPECT_FALSE(fixture.log.has("rejected")) << fixture.log.text;
 }
 
 // Property: of a burst of good, stale, wrong and half written files the latest good one is in force at any
@@ -228,27 +228,27 @@
   const unsigned seed = std::random_device{}();
   std::cout << "seed " << seed << '\n';
   std::mt19937 random(seed);
-  ReloadFixture t;
+  ReloadFixture fixture;
   std::size_t good = 0;
   int inForce = 7;
   for (int k = 1; k < 100; ++k) {
     const int version = 7 + k;
     const std::string complete = File::withDrainGrace(version, version).text();
     const unsigned what = random() % 4;
-    if (what == 0) t.requestReload(complete.substr(0, random() % complete.size()));
-    if (what == 1) t.requestReload(File::withDrainGrace(static_cast<int>(random() % 7), 1).text());
-    if (what == 2) t.requestReload(withRules("", R"("shards":13)").text());
+    if (what == 0) fixture.requestReload(complete.substr(0, random() % complete.size()));
+    if (what == 1) fixture.requestReload(File::withDrainGrace(static_cast<int>(random() % 7), 1).text());
+    if (what == 2) fixture.requestReload(withRules("", R"("shards":13)").text());
     if (what == 3) {
-      t.requestReload(complete);
+      fixture.requestReload(complete);
       ++good;
       inForce = version;
     }
-    ASSERT_EQ(t.applied.size(), good) << "seed " << seed << ": " << t.log.text;
-    ASSERT_EQ(t.drainGrace(), good > 0 ? inForce * kSecondMicros : 0) << "seed " << seed;
+    ASSERT_EQ(fixture.applied.size(), good) << "seed " << seed << ": " << fixture.log.text;
+    ASSERT_EQ(fixture.drainGrace(), good > 0 ? inForce * kSecondMicros : 0) << "seed " << seed;
   }
-  t.requestReload(File::withDrainGrace(107, 107).text());
-  EXPECT_EQ(t.drainGrace(), 107 * kSecondMicros);
-  EXPECT_TRUE(t.log.has("configuration in force: version 107 (content ")) << "seed " << seed;
+  fixture.requestReload(File::withDrainGrace(107, 107).text());
+  EXPECT_EQ(fixture.drainGrace(), 107 * kSecondMicros);
+  EXPECT_TRUE(fixture.log.has("configuration in force: version 107 (content ")) << "seed " << seed;
 }
 
 }  // namespace
--- a/tests/supervisor/dispatcher_test.cpp
+++ b/tests/supervisor/dispatcher_test.cpp
@@ -5,17 +5,16 @@
 
 #include <vector>
 
-namespace peargrade::supervisor {
+namespace peargrade::dispatch {
 namespace {
 
 TEST(Dispatcher, EachActionReachesItsSinkInOrder) {
-  dispatch::Dispatcher dispatcher;
-  std::vector<dispatch::Dispatcher::EndpointListRequest> lists;
-  std::vector<dispatch::Dispatcher::TableUpdate> updates;
+  Dispatcher dispatcher;
+  std::vector<Dispatcher::EndpointListRequest> lists;
+  std::vector<Dispatcher::TableUpdate> updates;
   dispatcher.onEndpointListRequest(
-      [&](dispatch::Dispatcher::EndpointListRequest request) { lists.push_back(request); });
-  dispatcher.onTableUpdate(
-      [&](const dispatch::Dispatcher::TableUpdate& update) { updates.push_back(update); });
+      [&](Dispatcher::EndpointListRequest request) { lists.push_back(request); });
+  dispatcher.onTableUpdate([&](const Dispatcher::TableUpdate& update) { updates.push_back(update); });
   const auto rest =
       dispatcher.dispatch({SetTimer{1, "t"}, SetRoute{1, "s", 1}, WatchEndpoints{true}, ClearTable{2},
                            SetEjection{"s", EjectionState::Ejected}, PollEndpoints{}, SetAdmission{},
@@ -24,13 +23,13 @@
   ASSERT_EQ(updates[0].size(), 5u);
   EXPECT_TRUE(std::holds_alternative<SetRoute>(updates[0].front()));
   EXPECT_TRUE(std::holds_alternative<AcknowledgementRequest>(updates[0].back()));
-  using Request = dispatch::Dispatcher::EndpointListRequest;
+  using Request = Dispatcher::EndpointListRequest;
   EXPECT_EQ(lists, (std::vector<Request>{Request::Watch, Request::Poll, Request::Unwatch}));
   EXPECT_EQ(rest.size(), 3u);
 }
 
 TEST(Dispatcher, ReadinessIsNotifiedOnce) {
-  dispatch::Dispatcher dispatcher;
+  Dispatcher dispatcher;
   int notifications = 0;
   dispatcher.onReady([&] { ++notifications; });
   dispatcher.relayConnected();
@@ -43,10 +42,10 @@
 }
 
 TEST(Dispatcher, UnavailablePeerDoesNotHoldUpReadiness) {
-  dispatch::Dispatcher dispatcher;
+  Dispatcher dispatcher;
   dispatcher.readinessTimedOut();
   EXPECT_TRUE(dispatcher.ready());
 }
 
 }  // namespace
-}  // namespace peargrade::supervisor
+}  // namespace peargrade::dispatch
--- a/tests/supervisor/log_test.cpp
+++ b/tests/supervisor/log_test.cpp
@@ -8,19 +8,19 @@
 
 #include "support/loop.h"
 
-namespace peargrade::supervisor {
+namespace peargrade::log {
 namespace {
 
 TEST(Log, FiltersByLevelAndKeepsOneLineForEachMessage) {
   ReadLog read;
-  log::Log filtered(read.ends[1], log::Level::Warn);
+  Log filtered(read.ends[1], Level::Warn);
   filtered.info("x") << "not this";
   filtered.warn("x") << "this\r\nand \x01 that";
   filtered.flush();
   EXPECT_EQ(read.count("\n"), 1u);
   EXPECT_TRUE(read.has(" warn x: this??and ? that\n")) << read.text;
-  EXPECT_EQ(log::levelNamed("warn"), log::Level::Warn);
-  EXPECT_FALSE(log::levelNamed("loud").has_value());
+  EXPECT_EQ(levelNamed("warn"), Level::Warn);
+  EXPECT_FALSE(levelNamed("loud").has_value());
 }
 
 // Lines that a stalled reader does not take are dropped and counted.
@@ -39,11 +39,10 @@
 
 TEST(Log, EveryReasonHasADistinctCode) {
   std::set<std::string> codes;
-  for (int k = 0; k <= static_cast<int>(log::Reason::Stopping); ++k)
-    codes.insert(log::code(static_cast<log::Reason>(k)));
-  EXPECT_EQ(codes.size(), static_cast<std::size_t>(log::Reason::Stopping) + 1);
+  for (int k = 0; k <= static_cast<int>(Reason::Stopping); ++k) codes.insert(code(static_cast<Reason>(k)));
+  EXPECT_EQ(codes.size(), static_cast<std::size_t>(Reason::Stopping) + 1);
   EXPECT_EQ(codes.count("unknown"), 0u);
 }
 
 }  // namespace
-}  // namespace peargrade::supervisor
+}  // namespace peargrade::log
