--- a/src/main.cpp
+++ b/src/main.cpp
@@ -42,7 +42,7 @@
 
 int main(int argc, char** argv) {
   // Before anything that could take time; whatever else than a supervisor this turns out to be ends by them.
-  if (argc > 1 && std::string(argv[1]) == "serve") peargrade::supervisor::Signals::hold();
+  if (argc > 1 && std::string(argv[1]) == "serve") peargrade::supervisor::Signals::block();
   CLI::App app("peargrade: a traffic director for a fleet of sidecar proxies");
   app.require_subcommand(1);
   app.failure_message(CLI::FailureMessage::help);
--- a/src/supervisor/signals.cpp
+++ b/src/supervisor/signals.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void Signals::hold() { setMask(SIG_BLOCK); }
+void Signals::block() { setMask(SIG_BLOCK); }
 
 Signals::Signals(event_base* base) {
   static_assert(kSignals.size() == kSignalCount);
--- a/src/supervisor/signals.h
+++ b/src/supervisor/signals.h
@@ -14,7 +14,7 @@
 class Signals {
  public:
   /// Blocks the signals; those that come meanwhile are pending. Called at the start of the program.
-  static void hold();
+  static void block();
 
   /// Handles pending signals and later ones, in the loop, until destroyed.
   explicit Signals(event_base* base);
--- a/tests/supervisor/signals_test.cpp
+++ b/tests/supervisor/signals_test.cpp
@@ -33,7 +33,7 @@
 }
 
 [[noreturn]] void raiseThenServe() {
-  Signals::hold();
+  Signals::block();
   for (const int number : {SIGHUP, SIGUSR1, SIGTERM}) raise(number);
   const net::EventBase base = net::makeBase();
   int reloads = 0;
