--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -42,12 +42,12 @@
 
 struct DecisionEngine::State {
   Settings cfg;
-  Rng rng;
+  Random rng;
   Micros now = 0;
   std::vector<Action> out;
   std::map<ServerId, Server> servers;
   std::map<TableId, Slice> slices;
-  Channel channel;
+  UpdateChannel channel;
   std::vector<Action> inHand;  // the last reply's orders, until it is told what became of them
   bool awaiting = false, missed = false, held = false, again = false;  // its fate; orders wait, may go now
   bool listFresh = false, subscribed = false, joined = false;  // joined: a proxy did, since the last decision
@@ -58,7 +58,7 @@
   std::vector<double> cohorts = {0};            // own heat on each, the first stands for none
   double peers = 1;                             // the whole fleet's heat against that of own slices
   std::vector<double> works, demand;            // by class: of a request; heat of own slices
-  Tally fleet;
+  AttemptCounts fleet;
   double typical = 0;           // pressure, of usable servers
   double usual = 0, letIn = 1;  // heat that a unit of a warm server's weight bears; share of heat let in
   bool strained = false, strainedSent = false, rulesSent = false;
@@ -143,11 +143,12 @@
     for (const auto& [there, zones] : metBetween(servers, now, kHealthMemory)) {
       double least = 1e18, lost = 1;
       for (const auto& [here, m] : zones) {
-        if (const double l = m.latency(now, kHealthMemory); l > 0) least = std::min(least, l);
-        lost = std::min(lost, m.tally(now, kHealthMemory).badShare());
+        if (const double l = m.meanLatency(now, kHealthMemory); l > 0) least = std::min(least, l);
+        lost = std::min(lost, m.counts(now, kHealthMemory).failureShare());
       }
       for (const auto& [here, m] : zones) {
-        const double slow = m.latency(now, kHealthMemory), bad = m.tally(now, kHealthMemory).badShare();
+        const double slow = m.meanLatency(now, kHealthMemory),
+                     bad = m.counts(now, kHealthMemory).failureShare();
         ways[{there, here}] = {slow > kWayMargin * least ? slow - least : 0,
                                bad > lost + kWayLoss ? bad - lost : 0};
       }
@@ -182,8 +183,8 @@
       newcomers += s.ready() && !s.proved;
       left += s.leftAt > 0 && now - s.leftAt < kLeftSpan;
       const double answers = s.sum(now, kHealthMemory, ways);
-      fleet.tries += s.tally.tries;
-      fleet.failed += s.tally.failed;
+      fleet.attempts += s.tally.attempts;
+      fleet.failures += s.tally.failures;
       if (answers >= kFewAnswers) s.latencies.add(now, s.latency, kLowestSpan);
       const double aim =
           aims[id] > 0 ? aims[id] / requests[id] : *std::max_element(works.begin(), works.end());
@@ -230,18 +231,19 @@
         out.push_back(HealthCheck{id});
         s.probeAt = now + std::max(kProbeFirst, now - s.seenAt);
       }
-      const Tally own = s.tally;
+      const AttemptCounts own = s.tally;
       s.leftAt = s.ready() ? 0 : s.leftAt > 0 ? s.leftAt : now;
       // A list may be wrong: what it drops stays, as far as nothing binds, until its answers stop as well.
-      s.believed = cfg.removalIsAdvisory && own.tries > 0 && own.badShare() < 1 - kStillAnswers && !s.failing;
-      if (!s.ready() || s.failing || own.tries < kFewTries || own.badShare() < kBadShare) continue;
-      const Tally others{fleet.tries - own.tries, fleet.failed - own.failed};
-      if (own.badShare() < kWorseThanFleet * others.badShare()) continue;
-      if (own.badShare() < 1 - kStillAnswers && s.pressure > kRelaxed) continue;
+      s.believed =
+          cfg.removalIsAdvisory && own.attempts > 0 && own.failureShare() < 1 - kStillAnswers && !s.failing;
+      if (!s.ready() || s.failing || own.attempts < kFewTries || own.failureShare() < kBadShare) continue;
+      const AttemptCounts others{fleet.attempts - own.attempts, fleet.failures - own.failures};
+      if (own.failureShare() < kWorseThanFleet * others.failureShare()) continue;
+      if (own.failureShare() < 1 - kStillAnswers && s.pressure > kRelaxed) continue;
       s.failing = true;
       s.failingHold = std::max(kFailingHold, 2 * s.failingHold);
       s.failingUntil = now + s.failingHold;
-      log(id + " fails: " + std::to_string(std::lround(100 * own.badShare())) + " of 100 tries");
+      log(id + " fails: " + std::to_string(std::lround(100 * own.failureShare())) + " of 100 tries");
     }
   }
 
@@ -431,7 +433,7 @@
     for (auto& [id, s] : servers) {
       if (s.reportedAt <= s.hotJudgedAt || now - s.hotJudgedAt < cfg.reportInterval) continue;
       s.hotJudgedAt = now;
-      const double low = s.latencies.least();
+      const double low = s.latencies.minimum();
       const bool slow = (low > 0 && s.latency > kHotLatency * low) ||
                         (typical > 0 && s.pressure > std::max(kRelaxed, kHotLatency * typical));
       const bool heavy = allWeight > 0 && heatOn(s) > allHeat * weight(s) / allWeight;
@@ -503,11 +505,11 @@
   void admit() {
     std::size_t open = 0, bound = 0;
     double taken = 0, offered = 0, weights = 0;
-    Tally warm;
+    AttemptCounts warm;
     for (auto& [id, s] : servers) {
       if (!s.usable() || isCold(s)) continue;
       const double density = heatOn(s) / listedWeight(s);
-      const double bad = s.tally.badShare();
+      const double bad = s.tally.failureShare();
       const double free = s.allowance > 0 ? std::min(s.allowance, density) : density;
       if (now - s.allowedAt > settle()) {
         if (s.pressure > kOverloaded || (bad > kRefusing && s.pressure > kRelaxed)) {
@@ -529,8 +531,8 @@
       }
       ++open;
       bound += s.allowance > 0;
-      warm.tries += s.tally.tries;
-      warm.failed += s.tally.failed;
+      warm.attempts += s.tally.attempts;
+      warm.failures += s.tally.failures;
       taken += s.admitted * heatOn(s);
       offered += heatOn(s);
       weights += listedWeight(s);
@@ -539,7 +541,7 @@
     if (weights > 0) usual = strained && usual > 0 ? std::min(taken / weights, most) : taken / weights;
     usualAt = now;
     letIn = offered > 0 ? taken / offered : 1;
-    strained = 3 * bound > open || warm.badShare() > kStrainedBadShare;
+    strained = 3 * bound > open || warm.failureShare() > kStrainedBadShare;
     for (auto& [id, s] : servers) {
       const double density = heatOn(s) / (listedWeight(s) * ramp(s));
       const double haste = std::clamp(1 - kHaste * (s.pressure - kOverloaded), kHasteLeast, 1.0);
@@ -607,10 +609,10 @@
 
   // Proxies that a message may go to: with slices all of the fleet may be there before their news are.
   double receivers() const {
-    return std::max({1.0, channel.proxies(), cfg.slices > 0 ? static_cast<double>(cfg.proxies) : 0.0});
+    return std::max({1.0, channel.proxyCount(), cfg.slices > 0 ? static_cast<double>(cfg.proxies) : 0.0});
   }
   // Guards against a channel slower than stated: what proxies have not confirmed counts as waiting.
-  double linesQueued() const { return channel.waiting(now, cfg.routesPerSecond / kSlowChannel); }
+  double linesQueued() const { return channel.routesInFlight(now, cfg.routesPerSecond / kSlowChannel); }
 
   // What a message to each proxy may hold now; levels for all and the mark ride along.
   double head() const { return cfg.messageOverheadRoutes + static_cast<double>(cfg.classes.size()) + 1; }
@@ -687,7 +689,7 @@
   // hottest slices first, as far as there is room; what is left waits, and a later decision replaces it.
   void flush() {
     held = awaiting;
-    if (channel.proxies() == 0 || awaiting) return;
+    if (channel.proxyCount() == 0 || awaiting) return;
     std::vector<Piece> pieces;
     for (auto& [t, s] : slices) {
       if (!cfg.hasSingleOwnerSlices() && s.sent != s.want) addLines(t, s, pieces);
@@ -742,7 +744,7 @@
     out.insert(out.end(), orders.begin(), orders.end());
     if (!cfg.deliveryReported) return;
     awaiting = true;
-    channel.await();
+    channel.awaitDelivery();
     inHand = std::move(orders);
   }
 
@@ -752,8 +754,8 @@
       Slice& s = slices[line->table];
       s.apply(*line);
       if (!cfg.hasSingleOwnerSlices() || line->weight > 0) return;
-      s.unsettled = channel.all();
-      s.clearedBy = channel.nextMark();
+      s.unsettled = channel.proxies();
+      s.clearedBy = channel.nextUpdateId();
     }
     const auto* admit = std::get_if<SetAdmission>(&order);
     if (admit == nullptr) return;
@@ -793,14 +795,14 @@
   }
 
   void on(const ProxyConnected& e) {
-    channel.join(e.proxy, now - kNewsLag);
+    channel.connect(e.proxy, now - kNewsLag);
     rulesSent = false;  // standing orders ride on later messages only
     joined = true;
     expectNothing(e.proxy);
   }
 
   void on(const ProxyDisconnected& e) {
-    channel.leave(e.proxy, now - kNewsLag);
+    channel.disconnect(e.proxy, now - kNewsLag);
     expectNothing(e.proxy);
   }
 
@@ -813,10 +815,10 @@
   }
 
   void on(const UpdateDelivery& e) {
-    if (!awaiting || e.updateId != channel.mark()) return;
+    if (!awaiting || e.updateId != channel.lastUpdateId()) return;
     awaiting = false;
     again = held || e.outcome != DeliveryOutcome::Accepted;
-    channel.told(now, e.messages, head(), receivers());
+    channel.recordDelivery(now, e.messages, head(), receivers());
     missed = e.outcome != DeliveryOutcome::Accepted;
     for (const Action& order : inHand) doubt(order);
     inHand.clear();
@@ -833,7 +835,7 @@
   }
 
   void on(const UpdateAcknowledged& e) {
-    if (!channel.confirm(e.proxy, e.updateId)) return;
+    if (!channel.acknowledge(e.proxy, e.updateId)) return;
     for (auto& [t, s] : slices) {
       if (!cfg.hasSingleOwnerSlices()) break;
       if (e.updateId >= s.clearedBy && s.unsettled.erase(e.proxy) > 0)
--- a/tests/rules/failback_test.cpp
+++ b/tests/decision/recovery_ramp_test.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <deque>
 
-#include "state.h"
+#include "decision/random.h"
 #include "support/scene.h"
 
 namespace peargrade {
@@ -82,7 +82,7 @@
     }
   }
 
-  Rng chance{GetParam()};
+  decision::Random chance{GetParam()};
   Settings settings = plainSettings();
   std::vector<Scene> all;
   std::vector<std::deque<std::pair<Micros, std::vector<Event>>>> onTheWay{kSupervisors};
--- a/tests/rules/channel_test.cpp
+++ b/tests/decision/update_channel_model_test.cpp
@@ -5,7 +5,7 @@
 #include <deque>
 #include <functional>
 
-#include "state.h"
+#include "decision/random.h"
 #include "support/scene.h"
 
 namespace peargrade {
@@ -144,7 +144,7 @@
 
   Settings settings = plainSettings();
   std::unique_ptr<Scene> s;
-  Rng chance{GetParam().seed};
+  decision::Random chance{GetParam().seed};
   const Micros start = 1000 * kSecond;
   std::multimap<Micros, std::function<void()>> agenda;
   std::vector<Event> told;
@@ -300,77 +300,5 @@
                                   std::to_string(info.param.seed);
                          });
 
-// Ten proxies, all joined long before what follows.
-class Account : public testing::Test {
- protected:
-  Account() {
-    for (ProxyId p = 0; p < 10; ++p) channel.join(p, at);
-  }
-  // Each is told to have gone a second after the one before; time alone lets nothing leave.
-  int send(double lines) { return channel.send(at += kSecond, lines, 10, 0); }
-  double waits() const { return channel.waiting(at, 0); }
-
-  Micros at = 1000 * kSecond;
-  Channel channel;
-};
-
-TEST_F(Account, WhatIsOrderedAfterALeavingProvesNothingOfWhatWasOrderedBefore) {
-  const int first = send(20), before = send(30);
-  for (ProxyId p = 3; p < 10; ++p) channel.leave(p, at + 1);
-  channel.join(20, at + 1);
-  const int after = send(40);
-  EXPECT_EQ(waits(), 10 * 20 + 10 * 30 + 4 * 40);
-  channel.confirm(20, after);  // set forward by what waited for the seven that left
-  EXPECT_EQ(waits(), 10 * 20 + 10 * 30 + 3 * 40);
-  channel.confirm(0, before);  // ordered of the same ten as the first one: that has left
-  EXPECT_DOUBLE_EQ(waits(), 2 * 30 + 7 * 30 * 2 / 3. + 3 * 40);
-  channel.confirm(1, after);  // its own come in sequence
-  EXPECT_DOUBLE_EQ(waits(), 30 + 7 * 30 / 3. + 2 * 40);
-  EXPECT_LT(first, before);
-}
-
-TEST_F(Account, LinesForThoseWhoLeftWaitUntilWhatIsBehindThemHasLeft) {
-  send(20);
-  for (ProxyId p = 3; p < 10; ++p) channel.leave(p, at);
-  EXPECT_EQ(waits(), 10 * 20);
-  const int second = send(30);
-  channel.confirm(0, second);  // overtook up to 140 lines
-  EXPECT_DOUBLE_EQ(waits(), 2 * 20 + 7 * 20 * 2 / 3. + 2 * 30);
-  send(30);
-  const int fourth = send(30);  // 180 lines behind the first
-  channel.confirm(0, fourth);
-  EXPECT_EQ(waits(), 2 * 30);
-}
-
-TEST_F(Account, WhereAllWhoCouldTellHaveLeftAllOfItWaits) {
-  const int first = send(20);
-  for (ProxyId p = 0; p < 10; ++p) channel.leave(p, at);
-  EXPECT_EQ(waits(), 10 * 20);
-  channel.join(20, at + 1);  // tells nothing of what went before it
-  EXPECT_TRUE(channel.confirm(20, first));
-  EXPECT_EQ(waits(), 10 * 20);
-}
-
-TEST_F(Account, OneThatLeavesAMessageInHandHasItsLinesCountedAsTheyWent) {
-  send(20);
-  channel.await();
-  channel.leave(9, at);
-  channel.told(at, 2, 5, 10);  // in two calls: one more head of 5
-  EXPECT_EQ(waits(), 10 * 25);
-  send(30);
-  channel.await();
-  channel.leave(8, at);
-  channel.told(at, 0, 5, 10);
-  EXPECT_EQ(waits(), 10 * 25);
-}
-
-TEST_F(Account, WhatWasOrderedBeforeALeavingWasReadMayHaveBeenSetForward) {
-  send(30);
-  const int crossing = send(40);  // the proxies had left by then
-  for (ProxyId p = 3; p < 10; ++p) channel.leave(p, at);
-  channel.confirm(0, crossing);
-  EXPECT_DOUBLE_EQ(waits(), 2 * 70 + 7 * 70 * 2 / 3.);
-}
-
 }  // namespace
 }  // namespace peargrade
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -1064,20 +1064,6 @@
   EXPECT_LE(waiting, settings.pendingRoutesMax);
 }
 
-TEST(Pacing, WhatWentToAProxyBeforeItsNewsWereReadWaitsForIt) {
-  Channel channel;
-  channel.join(1, 0);
-  channel.send(kSecond, 10, 1, 0);
-  channel.join(2, kSecond - kMs);
-  EXPECT_EQ(channel.waiting(2 * kSecond, 0), 10) << "no more than was counted then";
-  channel.send(2 * kSecond, 5, 2, 0);
-  EXPECT_EQ(channel.waiting(2 * kSecond, 0), 10 + 2 * 5);
-  channel.join(3, 3 * kSecond);
-  EXPECT_EQ(channel.waiting(3 * kSecond, 0), 10 + 2 * 5) << "one that joined later waits for nothing";
-  channel.join(1, 3 * kSecond);
-  EXPECT_EQ(channel.waiting(3 * kSecond, 0), 10 + 2 * 5) << "announced once more: its stream never broke";
-}
-
 // ---- The way to the channel ----
 
 struct Way : testing::Test {
@@ -1388,36 +1374,6 @@
 
 // ---- Long days ----
 
-// Guards against records that grow with the day: marks that all have confirmed, servers that others replaced.
-TEST(LongDay, MarksThatAllHaveConfirmedAreForgotten) {
-  Channel channel;
-  for (int p = 0; p < 3; ++p) channel.join(p, 0);
-  for (int k = 0; k < 5000; ++k) {
-    const int mark = channel.send(k * kSecond, 10, 3, 1000);
-    EXPECT_GT(channel.waiting(k * kSecond, 1000), 0);
-    for (int p = 0; p < 3; ++p) channel.confirm(p, mark);
-    EXPECT_EQ(channel.waiting(k * kSecond, 1000), 0);
-    ASSERT_LE(channel.marks(), 2u);
-  }
-  const int early = channel.send(1e10, 10, 3, 1000), late = channel.send(1e10, 10, 3, 1000);
-  channel.confirm(1, early);
-  EXPECT_LE(channel.marks(), 4u) << "what one has not confirmed stays";
-  EXPECT_EQ(channel.waiting(1e10, 1000), 2 * 10 + 3 * 10);
-  channel.confirm(0, late);
-  EXPECT_EQ(channel.waiting(1e10, 1000), 2 * 10) << "what was ordered before it has left for all";
-}
-
-TEST(LongDay, AMarkThatWasNeverAskedForConfirmsNothing) {
-  Channel channel;
-  channel.join(1, 0);
-  const int mark = channel.send(kSecond, 10, 1, 1000);
-  EXPECT_FALSE(channel.confirm(1, mark + 5));
-  EXPECT_FALSE(channel.confirm(9, mark)) << "nobody of that name";
-  EXPECT_EQ(channel.waiting(kSecond, 1000), 10);
-  EXPECT_TRUE(channel.confirm(1, mark));
-  EXPECT_EQ(channel.waiting(kSecond, 1000), 0);
-}
-
 TEST(LongDay, ServersThatOthersReplacedAreForgottenOnceNothingNamesThem) {
   std::map<ServerId, Server> servers;
   std::map<TableId, Slice> slices;
