--- a/include/peargrade/decision_engine.h
+++ b/include/peargrade/decision_engine.h
@@ -29,8 +29,8 @@
   std::vector<Action> handle(Micros now, const std::vector<Event>& events);
 
  private:
-  struct State;
-  std::unique_ptr<State> state_;
+  class Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace peargrade
--- /dev/null
+++ b/src/decision/decision_engine.cpp
@@ -0,0 +1,136 @@
+#include "peargrade/decision_engine.h"
+
+#include <utility>
+#include <variant>
+
+#include "decision/decision_engine_impl.h"
+#include "decision/route_usage.h"
+
+namespace peargrade {
+namespace {
+
+/// Interval of decisions while nothing else makes one due.
+constexpr Micros kDecisionInterval = 250 * decision::kMillisecond;
+constexpr char kDecisionTimer[] = "sweep";
+/// Records of departed servers are kept for so many times the time in which they count as departed.
+constexpr Micros kRecordMemory = 2 * decision::kDepartureMemory;
+
+/// Whether an event must not wait for the next timer.
+bool needsDecision(const Event& event) {
+  return std::holds_alternative<TimerFired>(event) || std::holds_alternative<EndpointListUpdate>(event) ||
+         std::holds_alternative<SliceAssignment>(event);
+}
+
+}  // namespace
+
+DecisionEngine::Impl::Impl(std::uint64_t seed, const Settings& settings)
+    : settings_(settings),
+      random_(seed),
+      costs_(settings_),
+      endpoints_(settings_, clock_, random_),
+      pressure_(settings_, clock_, costs_),
+      admission_(clock_, pressure_),
+      slowStart_(settings_, clock_, admission_),
+      trials_(settings_, clock_),
+      load_(settings_, clock_, costs_, slowStart_, trials_),
+      outliers_(settings_, clock_, actions_),
+      placement_(clock_, endpoints_, load_, trials_, random_),
+      migrator_(clock_, load_, trials_, actions_),
+      evacuation_(endpoints_, slowStart_, load_, placement_, migrator_),
+      capacity_(clock_, slowStart_, load_, pressure_),
+      hotspots_(settings_, clock_, slowStart_, load_, pressure_, placement_, migrator_, random_),
+      recovery_(clock_, slowStart_, load_, placement_, migrator_, random_),
+      backups_(settings_, endpoints_, slowStart_, random_),
+      budget_(settings_, clock_, channel_),
+      ratios_(settings_, costs_, slowStart_, load_, budget_),
+      ejections_(settings_, clock_, endpoints_, load_, budget_),
+      updates_(settings_, clock_, {slowStart_, load_, admission_, ratios_, ejections_}, budget_, channel_,
+               actions_) {}
+
+std::vector<Action> DecisionEngine::Impl::handle(Micros now, const std::vector<Event>& events) {
+  bool isTimerDue = startedAt_ == 0;
+  bool isDecisionDue = isTimerDue;
+  if (startedAt_ == 0) startedAt_ = now;
+  clock_.advanceTo(now);
+  for (const Event& event : events) {
+    std::visit([&](const auto& alternative) { on(alternative); }, event);
+    isTimerDue = isTimerDue || std::holds_alternative<TimerFired>(event);
+    isDecisionDue = isDecisionDue || needsDecision(event);
+  }
+  if (isTimerDue) actions_.add(SetTimer{kDecisionInterval, kDecisionTimer});
+  if (isDecisionDue || updates_.isDecisionDue()) decide();
+  return actions_.take();
+}
+
+void DecisionEngine::Impl::decide() {
+  endpoints_.refresh(startedAt_, actions_);
+  updates_.beginDecision(servers_);
+  forgetDepartedServers(servers_, slices_, clock_.now() - kRecordMemory);
+  estimate();
+  outliers_.judge(servers_, pressure_.fleetCounts());
+  evacuation_.evacuate(servers_, slices_);
+  capacity_.judge(servers_);
+  hotspots_.judge(servers_);
+  hotspots_.relieve(servers_, slices_);
+  recovery_.fill(servers_, slices_);
+  backups_.assign(servers_, slices_);
+  admission_.adjust(servers_, load_, slowStart_);
+  ratios_.update(servers_, slices_);
+  updates_.sendUpdate(servers_, slices_);
+}
+
+void DecisionEngine::Impl::estimate() {
+  load_.estimateOwnHeat(servers_, slices_);
+  pressure_.estimate(servers_, slices_, updates_.publishedFleetRatios());
+  trials_.count(servers_, slices_);
+  load_.estimateFleetHeat(servers_, slices_);
+}
+
+// The state by class keeps its size.
+void DecisionEngine::Impl::on(const SettingsChanged& event) {
+  if (event.settings.classes.size() != costs_.classes()) return;
+  updates_.changeSettings(settings_, event.settings);
+  settings_ = event.settings;
+  costs_.update(settings_);
+}
+
+void DecisionEngine::Impl::on(const HealthCheckResult& event) {
+  const auto it = servers_.find(event.server);
+  if (it == servers_.end() || it->second.isConfirmed) return;
+  if (event.outcome != HealthCheckOutcome::Passed) return;
+  it->second.isConfirmed = true;
+  it->second.changedAt = clock_.now();
+}
+
+void DecisionEngine::Impl::on(const SliceAssignment& event) {
+  slices_.erase(event.slice);
+  if (!event.assigned) return;
+  slices_.emplace(event.slice, decision::SliceState(clock_.now(), settings_.classes.size()));
+}
+
+// The server with the largest weight is the primary one; among equals a ready one.
+void DecisionEngine::Impl::on(const StoredRoute& event) {
+  const auto it = slices_.find(event.slice);
+  if (it == slices_.end() || event.weight <= 0) return;
+  decision::SliceState& slice = it->second;
+  servers_[event.server].isConfirmed = true;
+  slice.desired[event.server] = event.weight;
+  slice.published.insert_or_assign(event.server, decision::PublishedRoute::delivered(event.weight));
+  const double primaryWeight = slice.primary.empty() ? 0 : slice.desired[slice.primary];
+  const bool isHeavier = event.weight > primaryWeight;
+  if (!isHeavier && (event.weight != primaryWeight || servers_[slice.primary].isReady())) return;
+  slice.primary = event.server;
+  slice.initialPrimary = event.server;
+}
+
+DecisionEngine::DecisionEngine(std::uint64_t seed, const Settings& settings)
+    : impl_(std::make_unique<Impl>(seed, settings)) {}
+DecisionEngine::~DecisionEngine() = default;
+DecisionEngine::DecisionEngine(DecisionEngine&&) noexcept = default;
+DecisionEngine& DecisionEngine::operator=(DecisionEngine&&) noexcept = default;
+
+std::vector<Action> DecisionEngine::handle(Micros now, const std::vector<Event>& events) {
+  return impl_->handle(now, events);
+}
+
+}  // namespace peargrade
--- /dev/null
+++ b/src/decision/decision_engine_impl.h
@@ -0,0 +1,98 @@
+// The components of a decision engine, its event dispatch and the fixed order of a decision.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "decision/action_queue.h"
+#include "decision/admission_controller.h"
+#include "decision/admission_ratios.h"
+#include "decision/backup_assigner.h"
+#include "decision/capacity_estimator.h"
+#include "decision/clock.h"
+#include "decision/ejection_planner.h"
+#include "decision/endpoint_list.h"
+#include "decision/evacuation.h"
+#include "decision/hotspot_rule.h"
+#include "decision/load_estimator.h"
+#include "decision/migrator.h"
+#include "decision/outlier_detector.h"
+#include "decision/placement.h"
+#include "decision/pressure_estimator.h"
+#include "decision/random.h"
+#include "decision/recovery_filler.h"
+#include "decision/request_costs.h"
+#include "decision/server_state.h"
+#include "decision/slice_state.h"
+#include "decision/slow_start.h"
+#include "decision/trial_budget.h"
+#include "decision/update_budget.h"
+#include "decision/update_channel.h"
+#include "decision/update_scheduler.h"
+#include "peargrade/decision_engine.h"
+
+namespace peargrade {
+
+/// Owns the state of the servers and slices, and the components that read and write it. Components refer to
+/// each other, so an Impl stays where it is.
+class DecisionEngine::Impl {
+ public:
+  Impl(std::uint64_t seed, const Settings& settings);
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
+
+  std::vector<Action> handle(Micros now, const std::vector<Event>& events);
+
+ private:
+  // ---- Events ----
+  void on(const SettingsChanged& event);
+  void on(const EndpointListUpdate& event) { endpoints_.apply(event, servers_); }
+  void on(const HealthCheckResult& event);
+  void on(const ProxyConnected& event) { updates_.connectProxy(event.proxy, slices_); }
+  void on(const ProxyDisconnected& event) { updates_.disconnectProxy(event.proxy, slices_); }
+  void on(const ServerLoadReport& event) { pressure_.record(event, servers_); }
+  void on(const SliceLoadReport& event) { load_.record(event, slices_); }
+  void on(const SliceAssignment& event);
+  void on(const StoredRoute& event);
+  void on(const UpdateDelivery& event) { updates_.recordDelivery(event, servers_, slices_); }
+  void on(const UpdateAcknowledged& event) { updates_.recordAcknowledgement(event, slices_); }
+  // Nothing is decided by gossip and the demand of single proxies; a timer only makes a decision due.
+  void on(const GossipReceived&) {}
+  void on(const ProxyLoadReport&) {}
+  void on(const TimerFired&) {}
+
+  /// One decision: estimates first, then migrations, admission, and the update of the proxies.
+  void decide();
+  void estimate();
+
+  Settings settings_;
+  decision::Clock clock_;
+  decision::Random random_;
+  decision::ActionQueue actions_;
+  decision::ServerMap servers_;
+  decision::SliceMap slices_;
+  decision::UpdateChannel channel_;
+  Micros startedAt_ = 0;  // when the first batch was handled
+
+  decision::RequestCosts costs_;
+  decision::EndpointList endpoints_;
+  decision::PressureEstimator pressure_;
+  decision::AdmissionController admission_;
+  decision::SlowStart slowStart_;
+  decision::TrialBudget trials_;
+  decision::LoadEstimator load_;
+  decision::OutlierDetector outliers_;
+  decision::Placement placement_;
+  decision::Migrator migrator_;
+  decision::Evacuation evacuation_;
+  decision::CapacityEstimator capacity_;
+  decision::HotspotRule hotspots_;
+  decision::RecoveryFiller recovery_;
+  decision::BackupAssigner backups_;
+  decision::UpdateBudget budget_;
+  decision::AdmissionRatios ratios_;
+  decision::EjectionPlanner ejections_;
+  decision::UpdateScheduler updates_;
+};
+
+}  // namespace peargrade
--- /dev/null
+++ b/src/decision/hotspot_rule.h
@@ -0,0 +1,53 @@
+// The hotspot rule: a hot server loses slices one at a time. Source: "Avoiding and Correcting Hotspots: How
+// Elasticsearch Serverless Balances Shards", its write-load decider; see docs/design.md.
+#pragma once
+
+#include "decision/load_estimator.h"
+#include "decision/migrator.h"
+#include "decision/placement.h"
+#include "decision/pressure_estimator.h"
+#include "decision/random.h"
+#include "decision/server_state.h"
+#include "decision/slice_state.h"
+#include "decision/slow_start.h"
+#include "peargrade/settings.h"
+
+namespace peargrade::decision {
+
+/// A server is hot after some consecutive reports that are slow and heavy: latency over a multiple of its own
+/// least one, heat over its weight's share. Each hot server loses at most one slice a period, to a server
+/// below the mean load. Nothing migrates while all servers are hot or the fleet is overloaded.
+class HotspotRule {
+ public:
+  HotspotRule(const Settings& settings, const Clock& clock, const SlowStart& slowStart,
+              const LoadEstimator& load, const PressureEstimator& pressure, Placement& placement,
+              Migrator& migrator, Random& random)
+      : settings_(settings),
+        clock_(clock),
+        slowStart_(slowStart),
+        load_(load),
+        pressure_(pressure),
+        placement_(placement),
+        migrator_(migrator),
+        random_(random) {}
+
+  /// Judges the newest report of each server. Called once for each decision, before relieve.
+  void judge(ServerMap& servers);
+  /// Migrates slices off hot servers.
+  void relieve(ServerMap& servers, SliceMap& slices);
+
+ private:
+  [[nodiscard]] static bool isSlow(const ServerState& server, double typicalPressure);
+  [[nodiscard]] bool isTarget(const ServerState& server, const SliceState& slice) const;
+
+  const Settings& settings_;
+  const Clock& clock_;
+  const SlowStart& slowStart_;
+  const LoadEstimator& load_;
+  const PressureEstimator& pressure_;
+  Placement& placement_;
+  Migrator& migrator_;
+  Random& random_;
+};
+
+}  // namespace peargrade::decision
--- /dev/null
+++ b/src/decision/placement.h
@@ -0,0 +1,40 @@
+// Where a slice goes: the coolest server that may take it.
+#pragma once
+
+#include <functional>
+
+#include "decision/endpoint_list.h"
+#include "decision/load_estimator.h"
+#include "decision/random.h"
+#include "decision/server_state.h"
+#include "decision/slice_state.h"
+#include "decision/trial_budget.h"
+
+namespace peargrade::decision {
+
+/// Chooses targets of migrations.
+class Placement {
+ public:
+  using IsAllowed = std::function<bool(const ServerState&)>;
+
+  Placement(const Clock& clock, const EndpointList& endpoints, const LoadEstimator& load,
+            const TrialBudget& trials, Random& random)
+      : clock_(clock), endpoints_(endpoints), load_(load), trials_(trials), random_(random) {}
+
+  /// The allowed server with the least projected load, other than the slice's primary; empty: none. Chance
+  /// decides among the nearly coolest, so that supervisors choose differently. `typicalPressure`: the median
+  /// pressure of the usable servers.
+  [[nodiscard]] ServerId coolest(const ServerMap& servers, const SliceState& slice, double typicalPressure,
+                                 const IsAllowed& isAllowed);
+  /// Whether a server may be given slices.
+  [[nodiscard]] bool acceptsSlices(const ServerState& server) const;
+
+ private:
+  const Clock& clock_;
+  const EndpointList& endpoints_;
+  const LoadEstimator& load_;
+  const TrialBudget& trials_;
+  Random& random_;
+};
+
+}  // namespace peargrade::decision
--- /dev/null
+++ b/src/decision/slice_state.cpp
@@ -0,0 +1,63 @@
+#include "decision/slice_state.h"
+
+#include <algorithm>
+#include <variant>
+
+namespace peargrade::decision {
+
+SliceState::SliceState(Micros now, std::size_t classes)
+    : migratedAt(now),
+      assignedAt(now),
+      demand(classes),
+      rates(classes),
+      ratios(classes, 1),
+      publishedRatios(classes, 1) {}
+
+bool SliceState::isPublished() const {
+  const auto isSame = [](const auto& route, const auto& wanted) {
+    return route.first == wanted.first && route.second.hasWeight(wanted.second);
+  };
+  return std::equal(published.begin(), published.end(), desired.begin(), desired.end(), isSame);
+}
+
+bool SliceState::isRatioPublished(std::size_t requestClass) const {
+  return ratios[requestClass] == publishedRatios[requestClass] &&
+         (uncertainRatios & (1u << requestClass)) == 0;
+}
+
+std::vector<Action> SliceState::changedRoutes(TableId table) const {
+  std::vector<Action> routes;
+  for (const auto& [server, weight] : desired) {
+    const auto route = published.find(server);
+    if (route == published.end() || !route->second.hasWeight(weight))
+      routes.emplace_back(SetRoute{table, server, weight});
+  }
+  for (const auto& [server, route] : published) {
+    if (desired.count(server) == 0) routes.emplace_back(SetRoute{table, server, 0});
+  }
+  return routes;
+}
+
+void SliceState::publish(const SetRoute& route) {
+  hasUnpublishedEvacuation = hasUnpublishedEvacuation && route.server != primary;
+  if (route.weight > 0)
+    published.insert_or_assign(route.server, PublishedRoute::delivered(route.weight));
+  else
+    published.erase(route.server);
+}
+
+void SliceState::publish(const SetAdmission& admission) {
+  for (std::size_t requestClass = 0; requestClass < ratios.size(); ++requestClass) {
+    if ((admission.classMask & (1u << requestClass)) == 0) continue;
+    publishedRatios[requestClass] = ratios[requestClass];
+  }
+  uncertainRatios &= ~admission.classMask;
+}
+
+void SliceState::markUncertain(const Action& action) {
+  if (const auto* route = std::get_if<SetRoute>(&action))
+    published.insert_or_assign(route->server, PublishedRoute::unknownDelivery());
+  if (const auto* admission = std::get_if<SetAdmission>(&action)) uncertainRatios |= admission->classMask;
+}
+
+}  // namespace peargrade::decision
--- /dev/null
+++ b/src/decision/update_scheduler.cpp
@@ -0,0 +1,214 @@
+#include "decision/update_scheduler.h"
+
+#include <algorithm>
+#include <utility>
+#include <variant>
+
+#include "decision/action_target.h"
+#include "decision/retry_policy.h"
+
+namespace peargrade::decision {
+namespace {
+
+/// How long before its event is read a proxy may have connected or disconnected.
+constexpr Micros kConnectionEventLag = 1 * kSecond;
+/// Share of an update that ratios of slices may take: they change all the time.
+constexpr double kRatioShareOfUpdate = 0.5;
+
+}  // namespace
+
+UpdateScheduler::UpdateScheduler(const Settings& settings, const Clock& clock, const Sources& sources,
+                                 UpdateBudget& budget, UpdateChannel& channel, ActionQueue& actions)
+    : settings_(settings),
+      clock_(clock),
+      sources_(sources),
+      budget_(budget),
+      channel_(channel),
+      actions_(actions),
+      routes_(sources.ejections),
+      ownership_(settings, clock) {
+  published_.ratios.assign(settings.classes.size(), 1);
+}
+
+void UpdateScheduler::connectProxy(ProxyId proxy, SliceMap& slices) {
+  channel_.connect(proxy, clock_.now() - kConnectionEventLag);
+  published_.isCurrent = false;
+  hasNewProxies_ = true;
+  ownership_.recordConnectionChange(slices, proxy);
+}
+
+void UpdateScheduler::disconnectProxy(ProxyId proxy, SliceMap& slices) {
+  channel_.disconnect(proxy, clock_.now() - kConnectionEventLag);
+  ownership_.recordConnectionChange(slices, proxy);
+}
+
+void UpdateScheduler::recordAcknowledgement(const UpdateAcknowledged& event, SliceMap& slices) {
+  if (!channel_.acknowledge(event.proxy, event.updateId)) return;
+  ownership_.recordAcknowledgement(slices, event.proxy, event.updateId);
+}
+
+void UpdateScheduler::recordDelivery(const UpdateDelivery& event, ServerMap& servers, SliceMap& slices) {
+  if (!delivery_.isAwaitingOutcome() || event.updateId != channel_.lastUpdateId()) return;
+  const std::vector<Action> update = delivery_.recordOutcome(event.outcome);
+  budget_.recordDelivery(event.messages);
+  if (!delivery_.needsRetry()) return;
+  for (const Action& action : update) markUncertain(action, servers, slices);
+}
+
+// A slice that was assigned since the update was sent has the table that the store holds.
+void UpdateScheduler::markUncertain(const Action& action, ServerMap& servers, SliceMap& slices) {
+  if (const auto* ejection = std::get_if<SetEjection>(&action))
+    servers[ejection->server].ejection.markUnconfirmed();
+  const TableId table = tableOf(action);
+  if (std::holds_alternative<SetAdmission>(action) && table == kAllTables) published_.isCurrent = false;
+  const auto it = slices.find(table);
+  if (it == slices.end() || it->second.assignedAt > budget_.lastSentAt()) return;
+  it->second.markUncertain(action);
+}
+
+void UpdateScheduler::changeSettings(const Settings& before, const Settings& after) {
+  published_.isCurrent = published_.isCurrent && haveSameRetryPolicies(before, after);
+}
+
+void UpdateScheduler::beginDecision(ServerMap& servers) {
+  if (hasNewProxies_) {
+    for (auto& [id, server] : servers) {
+      if (server.ejection.isEjected()) server.ejection.markUnconfirmed();
+    }
+  }
+  hasNewProxies_ = false;
+  delivery_.beginDecision();
+}
+
+void UpdateScheduler::sendUpdate(ServerMap& servers, SliceMap& slices) {
+  delivery_.holdDecision();
+  if (channel_.proxyCount() == 0 || delivery_.isAwaitingOutcome()) return;
+  std::vector<PendingUpdate> pending = pendingUpdates(servers, slices);
+  const std::size_t ejections = sources_.ejections.plan(servers, slices).size();
+  if (pending.empty() && ejections == 0) return;
+  std::sort(pending.begin(), pending.end());
+  if (!maySend(pending, ejections)) return;
+  std::vector<Action> update = fillUpdate(pending, servers, slices);
+  if (update.empty()) return;
+  dropSuperseded(update);
+  const double routes = budget_.messageOverhead() + static_cast<double>(update.size());
+  const int updateId = budget_.send(routes);
+  update.emplace_back(AcknowledgementRequest{updateId, settings_.hasSingleOwnerSlices()});
+  for (const Action& action : update) actions_.add(action);
+  if (!settings_.deliveryReported) {
+    delivery_.sendUntracked();
+    return;
+  }
+  channel_.awaitDelivery();
+  delivery_.sendTracked(std::move(update));
+}
+
+std::vector<PendingUpdate> UpdateScheduler::pendingUpdates(const ServerMap& servers,
+                                                           const SliceMap& slices) const {
+  std::vector<PendingUpdate> updates;
+  for (const auto& [table, slice] : slices) {
+    if (!settings_.hasSingleOwnerSlices() && !slice.isPublished())
+      routes_.plan(table, slice, servers, updates);
+    std::vector<Action> handover = ownership_.nextRoutes(table, slice);
+    if (!handover.empty())
+      updates.push_back({UpdatePriority::Critical, -slice.heat, table, std::move(handover)});
+    if (settings_.admissionUnit == AdmissionUnit::Ratio) planRatios(table, slice, servers, updates);
+  }
+  planFleetAdmission(updates);
+  return updates;
+}
+
+void UpdateScheduler::planRatios(TableId table, const SliceState& slice, const ServerMap& servers,
+                                 std::vector<PendingUpdate>& updates) const {
+  std::vector<Action> ratios;
+  bool isDecrease = false;
+  for (std::size_t k = 0; k < slice.ratios.size(); ++k) {
+    if (slice.isRatioPublished(k)) continue;
+    ratios.emplace_back(SetAdmission{table, 1u << k, slice.ratios[k], retryPolicy(k)});
+    // An equal ratio is one whose delivery is unknown.
+    isDecrease = isDecrease || (slice.ratios[k] < 1 && slice.ratios[k] <= slice.publishedRatios[k]);
+  }
+  if (ratios.empty()) return;
+  const bool isUrgent = isDecrease && sources_.slowStart.isWarmingUp(servers.at(slice.primary));
+  const UpdatePriority priority = isUrgent ? UpdatePriority::Evacuation : UpdatePriority::Admission;
+  updates.push_back({priority, -slice.heat, table, std::move(ratios)});
+}
+
+void UpdateScheduler::planFleetAdmission(std::vector<PendingUpdate>& updates) const {
+  const std::vector<double>& ratios = sources_.ratios.fleetRatios();
+  const bool isSame =
+      published_.isOverloaded == sources_.admission.isOverloaded() && published_.ratios == ratios;
+  if (published_.isCurrent && isSame) return;
+  const UpdatePriority priority =
+      delivery_.needsRetry() ? UpdatePriority::Evacuation : UpdatePriority::Admission;
+  PendingUpdate update{priority, -sources_.load.fleetHeat(), kAllTables, {}};
+  for (std::size_t k = 0; k < settings_.classes.size(); ++k)
+    update.actions.emplace_back(SetAdmission{kAllTables, 1u << k, ratios[k], retryPolicy(k)});
+  updates.push_back(std::move(update));
+}
+
+RetryPolicy UpdateScheduler::retryPolicy(std::size_t requestClass) const {
+  return retryPolicyOf(settings_.classes[requestClass], settings_, sources_.admission.isOverloaded());
+}
+
+bool UpdateScheduler::maySend(const std::vector<PendingUpdate>& updates, std::size_t ejections) const {
+  const UpdatePriority first = ejections > 0 ? UpdatePriority::Critical : updates.front().priority;
+  auto routes = static_cast<double>(ejections);
+  for (const PendingUpdate& pending : updates)
+    routes += pending.priority == first ? static_cast<double>(pending.actions.size()) : 0;
+  return budget_.maySend(first, routes, delivery_.needsRetry());
+}
+
+std::vector<Action> UpdateScheduler::fillUpdate(const std::vector<PendingUpdate>& updates, ServerMap& servers,
+                                                SliceMap& slices) {
+  std::vector<Action> update;
+  const double mostRatios = std::max(kRatioShareOfUpdate * budget_.capacityLeft(UpdatePriority::Admission),
+                                     static_cast<double>(settings_.classes.size()));
+  double ratios = 0;
+  for (const PendingUpdate& pending : updates) {
+    const bool isRatio = pending.priority == UpdatePriority::Admission;
+    ratios += isRatio ? static_cast<double>(pending.actions.size()) : 0;
+    if (isRatio && ratios > mostRatios) continue;
+    if (!append(pending.priority, pending.actions, update, servers, slices)) break;
+  }
+  // Planned anew: a table may have a routable server only by what was just added.
+  for (const SetEjection& ejection : sources_.ejections.plan(servers, slices))
+    append(UpdatePriority::Critical, {ejection}, update, servers, slices);
+  return update;
+}
+
+bool UpdateScheduler::append(UpdatePriority priority, const std::vector<Action>& more,
+                             std::vector<Action>& update, ServerMap& servers, SliceMap& slices) {
+  const auto routes = static_cast<double>(update.size() + more.size());
+  // The first part goes into an empty channel whatever its size.
+  const bool isLimited = !update.empty() || budget_.routesInFlight() > 0;
+  if (isLimited && routes > budget_.capacityLeft(priority)) return false;
+  for (const Action& action : more) publish(action, servers, slices);
+  update.insert(update.end(), more.begin(), more.end());
+  return true;
+}
+
+void UpdateScheduler::publish(const Action& action, ServerMap& servers, SliceMap& slices) {
+  if (const auto* ejection = std::get_if<SetEjection>(&action))
+    servers.at(ejection->server).ejection.publish(ejection->state);
+  if (const auto* route = std::get_if<SetRoute>(&action)) publish(*route, slices.at(route->table));
+  if (const auto* admission = std::get_if<SetAdmission>(&action)) publish(*admission, slices);
+}
+
+void UpdateScheduler::publish(const SetRoute& route, SliceState& slice) {
+  slice.publish(route);
+  const bool beginsHandover = settings_.hasSingleOwnerSlices() && route.weight <= 0;
+  if (beginsHandover) SliceOwnership::beginHandover(slice, channel_.proxies(), channel_.nextUpdateId());
+}
+
+void UpdateScheduler::publish(const SetAdmission& admission, SliceMap& slices) {
+  if (admission.table != kAllTables) {
+    slices.at(admission.table).publish(admission);
+    return;
+  }
+  published_.isCurrent = true;
+  published_.isOverloaded = sources_.admission.isOverloaded();
+  published_.ratios = sources_.ratios.fleetRatios();
+}
+
+}  // namespace peargrade::decision
