--- a/scale/report/rows.py
+++ b/scale/report/rows.py
@@ -128,15 +128,15 @@
 ALL_LINES = Scope("a line for every server", (Sweep("lines", lambda t: t.sizes.servers),))
 SERVICE_LINES = Scope("a line for each server of a service", (Sweep("lines", lambda t: t.sizes.servers_per_service),))
 
-_DIRECTOR = Mechanism("records by server name, forgotten a minute after the server left", "src/state.h")
+_DIRECTOR = Mechanism("records by server name, forgotten a minute after the server left", "src/decision/route_usage.cpp")
 _LIST = Mechanism("list and watch, resumed by revision", "src/discovery/discovery.cpp")
 _NEWS = Mechanism("snapshot, then differences only", "src/relay/newsbook.cpp")
-_ORDERS = Mechanism("incremental updates by urgency, never repeated", "src/rules.cpp")
+_ORDERS = Mechanism("incremental updates by urgency, never repeated", "src/decision/update_scheduler.cpp")
 _REPORTS = Mechanism("windowed sums aggregated by a collector a zone", "src/clients/messages.cpp")
 _RELOAD = Mechanism("reload on SIGHUP: addresses, and settings where allowed", "src/supervisor/reload.cpp")
 _TURNS = Mechanism("batching: one turn of the module for all events", "src/supervisor/supervisor.cpp")
 _BOUNDS = Mechanism("bounded buffers, shares of the memory limit", "src/supervisor/serve.cpp")
-_BACKOFF = Mechanism("exponential backoff with jitter", "src/rules.cpp")
+_BACKOFF = Mechanism("exponential backoff with jitter", "src/decision/endpoint_list.cpp")
 _PICK = Mechanism("weighted power of two choices; a reference, proxies are the platform's", "bench/pick_bench.cpp")
 
 LIST, NEWS, ORDERS, REPORTS, CONFIGURATION = (
--- a/scale/report/tables.py
+++ b/scale/report/tables.py
@@ -132,7 +132,7 @@
     return table(("test", "revision", "role", "size", "property", "figure", "budget", "ratio", "state"), body)
 
 
-SWEEPS_PER_S = 4  # of the module, in each supervisor (kSweepEvery in src/rules.cpp)
+SWEEPS_PER_S = 4  # of the module, in each supervisor (kDecisionInterval in src/decision/decision_engine.cpp)
 PACE_LEAST = 0.75  # of them; as the hollow fleet judges its own runs (kPaceLeast in scale/fleet.cpp)
 
 
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -53,7 +53,7 @@
     warm.offeredHeat += heat;
     warm.weight += weight;
   }
-  judgeFleet(warm);
+  updateFleetState(warm);
   for (auto& [id, server] : servers) {
     const double weight = slowStart.listedWeight(server) * slowStart.rampFactor(server);
     setAdmittedShare(server, load.heatOn(server) / weight, slowStart.isWarmingUp(server));
@@ -104,7 +104,7 @@
   admission.limitChangedAt = clock_.now();
 }
 
-void AdmissionController::judgeFleet(const WarmServers& warm) {
+void AdmissionController::updateFleetState(const WarmServers& warm) {
   const Micros now = clock_.now();
   const double sinceLast = static_cast<double>(now - sustainedHeatAt_);
   const double most = sustainedHeat_ * (1 + kSustainedHeatRise * sinceLast / kSecond);
--- a/src/decision/admission_controller.h
+++ b/src/decision/admission_controller.h
@@ -44,7 +44,7 @@
   void adjustLimit(ServerState& server, double heat) const;
   void decreaseLimit(ServerState& server, double heat) const;
   void increaseLimit(ServerState& server, double heat) const;
-  void judgeFleet(const WarmServers& warm);
+  void updateFleetState(const WarmServers& warm);
   /// `heat`: per listed weight that the server has now.
   void setAdmittedShare(ServerState& server, double heat, bool isWarmingUp) const;
 
--- a/src/decision/admission_ratios.cpp
+++ b/src/decision/admission_ratios.cpp
@@ -10,7 +10,7 @@
 constexpr double kLeastRatio = 0.05;
 /// Ratios are multiples of this.
 constexpr double kRatioGrain = 0.05;
-/// Smallest change of a ratio that is worth an update.
+/// Smallest change of a ratio that justifies an update.
 constexpr double kRatioStep = 0.1;
 /// The same for slices while the fleet's ratio serves most of them.
 constexpr double kCoarseRatioStep = 0.3;
--- a/src/decision/backup_assigner.h
+++ b/src/decision/backup_assigner.h
@@ -41,7 +41,7 @@
   const EndpointList& endpoints_;
   const SlowStart& slowStart_;
   Random& random_;
-  // Found anew for each decision.
+  // Found for each decision.
   std::vector<Candidate> candidates_;
   std::map<ServerId, std::size_t> indexOf_;
 };
--- a/src/decision/capacity_estimator.cpp
+++ b/src/decision/capacity_estimator.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void CapacityEstimator::judge(ServerMap& servers) const {
+void CapacityEstimator::update(ServerMap& servers) const {
   if (slowStart_.isFleetOverloaded() || medianPressure(servers) > kRelaxedPressure) return;
   const Micros now = clock_.now();
   for (auto& [id, server] : servers) {
--- a/src/decision/capacity_estimator.h
+++ b/src/decision/capacity_estimator.h
@@ -17,7 +17,7 @@
       : clock_(clock), slowStart_(slowStart), load_(load), pressure_(pressure) {}
 
   /// Called once for each decision.
-  void judge(ServerMap& servers) const;
+  void update(ServerMap& servers) const;
 
  private:
   const Clock& clock_;
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -67,10 +67,10 @@
   updates_.beginDecision(servers_);
   forgetDepartedServers(servers_, slices_, clock_.now() - kRecordMemory);
   estimate();
-  outliers_.judge(servers_, pressure_.fleetCounts());
+  outliers_.detect(servers_, pressure_.fleetCounts());
   evacuation_.evacuate(servers_, slices_);
-  capacity_.judge(servers_);
-  hotspots_.judge(servers_);
+  capacity_.update(servers_);
+  hotspots_.detect(servers_);
   hotspots_.relieve(servers_, slices_);
   recovery_.fill(servers_, slices_);
   backups_.assign(servers_, slices_);
--- a/src/decision/endpoint_list.h
+++ b/src/decision/endpoint_list.h
@@ -16,8 +16,8 @@
       : settings_(settings), clock_(clock), random_(random) {}
 
   void apply(const EndpointListUpdate& update, ServerMap& servers);
-  /// Called at the begin of each decision: subscribes when it is due, and judges whether a cached list holds.
-  /// `engineStartedAt`: when the engine handled its first batch.
+  /// Called at the start of each decision: subscribes when it is due, and decides whether a cached list
+  /// holds. `engineStartedAt`: when the engine handled its first batch.
   void refresh(Micros engineStartedAt, ActionQueue& actions);
   /// Whether the list as known holds: a cached one may not know a new server yet.
   [[nodiscard]] bool isCurrent() const { return isCurrent_; }
--- a/src/decision/hotspot_rule.cpp
+++ b/src/decision/hotspot_rule.cpp
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-void HotspotRule::judge(ServerMap& servers) {
+void HotspotRule::detect(ServerMap& servers) {
   const Micros now = clock_.now();
   const double typicalPressure = medianPressure(servers);
   for (auto& [id, server] : servers) {
     HotspotRecord& hotspot = server.hotspot;
-    if (server.reports.reportedAt <= hotspot.judgedAt) continue;
-    if (now - hotspot.judgedAt < settings_.reportInterval) continue;
-    hotspot.judgedAt = now;
+    if (server.reports.reportedAt <= hotspot.evaluatedAt) continue;
+    if (now - hotspot.evaluatedAt < settings_.reportInterval) continue;
+    hotspot.evaluatedAt = now;
     const bool isHeavy = load_.usableWeight() > 0 && load_.heatOn(server) > load_.fairHeat(server);
     const bool showsLastMigration = now >= hotspot.relievedAt + pressure_.settlingTime();
     const bool isHotReport = isSlow(server, typicalPressure) && isHeavy && showsLastMigration;
--- a/src/decision/hotspot_rule.h
+++ b/src/decision/hotspot_rule.h
@@ -31,8 +31,8 @@
         migrator_(migrator),
         random_(random) {}
 
-  /// Judges the newest report of each server. Called once for each decision, before relieve.
-  void judge(ServerMap& servers);
+  /// Evaluates the newest report of each server. Called once for each decision, before relieve.
+  void detect(ServerMap& servers);
   /// Migrates slices off hot servers.
   void relieve(ServerMap& servers, SliceMap& slices);
 
--- a/src/decision/load_estimator.h
+++ b/src/decision/load_estimator.h
@@ -1,4 +1,4 @@
-// Heat of the slices and servers: the fleet's load as far as one supervisor can tell.
+// Heat of the slices and servers: the fleet's load as estimated by one supervisor.
 #pragma once
 
 #include <cstddef>
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void OutlierDetector::judge(ServerMap& servers, const AttemptCounts& fleetCounts) {
+void OutlierDetector::detect(ServerMap& servers, const AttemptCounts& fleetCounts) {
   const Micros now = clock_.now();
   for (auto& [id, server] : servers) {
     if (server.outlier.hasExpired(now)) release(id, server);
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -7,7 +7,7 @@
 
 namespace peargrade::decision {
 
-/// Judges every server from its load reports, whatever makes it useless: quick errors, refused or silent
+/// Evaluates every server by its load reports, whatever makes it useless: quick errors, refused or silent
 /// connections. A slow server that rejects requests is overloaded, no outlier: to leave it would only pass
 /// the load on. Also starts health checks of servers that never answered, and judges whether a server that
 /// the list dropped is still alive.
@@ -17,7 +17,7 @@
       : settings_(settings), clock_(clock), actions_(actions) {}
 
   /// `fleetCounts`: attempts at all servers. Called once for each decision.
-  void judge(ServerMap& servers, const AttemptCounts& fleetCounts);
+  void detect(ServerMap& servers, const AttemptCounts& fleetCounts);
 
  private:
   void release(const ServerId& id, ServerState& server);
--- a/src/decision/path_estimator.h
+++ b/src/decision/path_estimator.h
@@ -18,8 +18,8 @@
   double failureShare = 0;
 };
 
-/// Tells a bad path between zones (slow, lossy or cut) from bad servers: what one zone's proxies meet at all
-/// servers of a zone, beyond what the best placed proxies meet there, is the path's.
+/// Tells a bad path between zones (slow, lossy or cut) from bad servers: what one zone's proxies experience
+/// at all servers of a zone, beyond what the best placed proxies experience there, is the path's.
 class PathEstimator {
  public:
   /// Called once for each decision.
--- a/src/decision/recovery_filler.cpp
+++ b/src/decision/recovery_filler.cpp
@@ -9,7 +9,7 @@
 namespace peargrade::decision {
 namespace {
 
-/// A supervisor that has heard reports for less time than this knows no loads yet.
+/// Load reports over less time than this are no basis for estimates.
 constexpr Micros kObservationTime = 10 * kSecond;
 /// A recovering server is filled up to this share of the mean load.
 constexpr double kFillBelow = 0.8;
--- a/src/decision/server_state.h
+++ b/src/decision/server_state.h
@@ -60,7 +60,7 @@
   std::map<int, ZoneStatistics> byProxyZone;
   SlidingMinimum latencies;
   Micros reportedAt = 0;
-  // Estimated anew for each decision.
+  // Estimated for each decision.
   /// Mean latency without the paths' penalties, in microseconds; 0: no reports.
   double latency = 0;
   /// Latency as a share of the latency objective of the server's requests.
@@ -68,7 +68,7 @@
   AttemptCounts counts;
 };
 
-/// Estimated load of a server. Written by LoadEstimator, anew for each decision.
+/// Estimated load of a server. Written by LoadEstimator for each decision.
 struct EstimatedLoad {
   /// Heat of this supervisor's slices with their desired primary there.
   double ownHeat = 0;
@@ -89,7 +89,7 @@
 struct HotspotRecord {
   /// Consecutive reports that pass both tests of the hotspot rule.
   int hotReports = 0;
-  Micros judgedAt = 0;
+  Micros evaluatedAt = 0;
   /// When it last lost a slice to the rule, or restarted.
   Micros relievedAt = 0;
 };
@@ -124,7 +124,7 @@
   Micros firstSeenAt = 0;
 
   // ---- Written by EndpointList, health checks, load reports and stored routes: only ever set ----
-  /// Whether it has answered, or had slices when this supervisor met it.
+  /// Whether it has answered, or was in a stored route.
   bool isConfirmed = false;
 
   // ---- Written by EndpointList, health checks and OutlierDetector ----
--- a/src/decision/slice_ownership.cpp
+++ b/src/decision/slice_handover.cpp
@@ -1,11 +1,11 @@
-#include "decision/slice_ownership.h"
+#include "decision/slice_handover.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace peargrade::decision {
 
-std::vector<Action> SliceOwnership::nextRoutes(TableId table, const SliceState& slice) const {
+std::vector<Action> SliceHandover::nextRoutes(TableId table, const SliceState& slice) const {
   if (!settings_.hasSingleOwnerSlices() || slice.isPublished()) return {};
   const bool ownerStays = !slice.published.empty() && !slice.desired.empty() &&
                           slice.published.begin()->first == slice.desired.begin()->first;
@@ -15,12 +15,12 @@
   return mayBegin ? slice.changedRoutes(table) : std::vector<Action>{};
 }
 
-void SliceOwnership::beginHandover(SliceState& slice, std::set<ProxyId> proxies, int updateId) {
+void SliceHandover::beginHandover(SliceState& slice, std::set<ProxyId> proxies, int updateId) {
   slice.handover.unacknowledgedBy = std::move(proxies);
   slice.handover.removalUpdateId = updateId;
 }
 
-void SliceOwnership::recordAcknowledgement(SliceMap& slices, ProxyId proxy, int updateId) const {
+void SliceHandover::recordAcknowledgement(SliceMap& slices, ProxyId proxy, int updateId) const {
   if (!settings_.hasSingleOwnerSlices()) return;
   const Micros writesEndAt = clock_.now() + settings_.inFlightWriteMax;
   for (auto& [table, slice] : slices) {
@@ -30,7 +30,7 @@
   }
 }
 
-void SliceOwnership::recordConnectionChange(SliceMap& slices, ProxyId proxy) const {
+void SliceHandover::recordConnectionChange(SliceMap& slices, ProxyId proxy) const {
   if (!settings_.hasSingleOwnerSlices()) return;
   const Micros writesEndAt = clock_.now() + settings_.lease + settings_.inFlightWriteMax;
   for (auto& [table, slice] : slices) {
--- a/src/decision/slice_ownership.h
+++ b/src/decision/slice_handover.h
@@ -13,9 +13,9 @@
 
 /// The old owner's route is removed first. The new owner's route follows once every proxy has acknowledged
 /// the removal, or has lost its lease, and accepted writes have ended. Does nothing where slices are shared.
-class SliceOwnership {
+class SliceHandover {
  public:
-  SliceOwnership(const Settings& settings, const Clock& clock) : settings_(settings), clock_(clock) {}
+  SliceHandover(const Settings& settings, const Clock& clock) : settings_(settings), clock_(clock) {}
 
   /// The routes of a handover that may be published now.
   [[nodiscard]] std::vector<Action> nextRoutes(TableId table, const SliceState& slice) const;
--- a/src/decision/slice_state.h
+++ b/src/decision/slice_state.h
@@ -30,7 +30,7 @@
   std::optional<double> weight_;
 };
 
-/// A change of owner of a SingleOwner slice. Written by SliceOwnership.
+/// A change of owner of a SingleOwner slice. Written by SliceHandover.
 struct Handover {
   /// Proxies that have not acknowledged the removal of the old owner's route.
   std::set<ProxyId> unacknowledgedBy;
@@ -58,7 +58,7 @@
   // ---- Written by LoadEstimator ----
   /// Requests, by class.
   std::vector<DecayingSum> demand;
-  // Estimated anew for each decision: requests a second by class, and their heat.
+  // Estimated for each decision: requests a second by class, and their heat.
   std::vector<double> rates;
   double heat = 0;
 
--- a/src/decision/update_channel.cpp
+++ b/src/decision/update_channel.cpp
@@ -144,7 +144,8 @@
   return departedRoutes_;
 }
 
-// An update that every proxy acknowledged tells nothing more; kept, such records would grow with time.
+// The record of an update that every proxy acknowledged has no further use; kept, records would grow with
+// time.
 void UpdateChannel::forgetAcknowledged() {
   double least = sent_;
   for (const auto& [proxy, routes] : acknowledgedBy_) least = std::min(least, routes);
--- a/src/decision/update_channel.h
+++ b/src/decision/update_channel.h
@@ -29,7 +29,7 @@
   void disconnect(ProxyId proxy, Micros since);
   /// False: the proxy or the update is not known, or every proxy acknowledged the update long ago.
   bool acknowledge(ProxyId proxy, int updateId);
-  /// Updates whose acknowledgement still tells something.
+  /// Updates whose acknowledgement would still change the account.
   [[nodiscard]] std::size_t trackedUpdates() const { return updates_.size(); }
   [[nodiscard]] int lastUpdateId() const { return lastUpdateId_; }
   [[nodiscard]] int nextUpdateId() const { return (lastUpdateId_ + 1) % kUpdateIds; }
--- a/src/decision/update_scheduler.cpp
+++ b/src/decision/update_scheduler.cpp
@@ -26,7 +26,7 @@
       channel_(channel),
       actions_(actions),
       routes_(sources.ejections),
-      ownership_(settings, clock) {
+      handover_(settings, clock) {
   published_.ratios.assign(settings.classes.size(), 1);
 }
 
@@ -34,17 +34,17 @@
   channel_.connect(proxy, clock_.now() - kConnectionEventLag);
   published_.isCurrent = false;
   hasNewProxies_ = true;
-  ownership_.recordConnectionChange(slices, proxy);
+  handover_.recordConnectionChange(slices, proxy);
 }
 
 void UpdateScheduler::disconnectProxy(ProxyId proxy, SliceMap& slices) {
   channel_.disconnect(proxy, clock_.now() - kConnectionEventLag);
-  ownership_.recordConnectionChange(slices, proxy);
+  handover_.recordConnectionChange(slices, proxy);
 }
 
 void UpdateScheduler::recordAcknowledgement(const UpdateAcknowledged& event, SliceMap& slices) {
   if (!channel_.acknowledge(event.proxy, event.updateId)) return;
-  ownership_.recordAcknowledgement(slices, event.proxy, event.updateId);
+  handover_.recordAcknowledgement(slices, event.proxy, event.updateId);
 }
 
 void UpdateScheduler::recordDelivery(const UpdateDelivery& event, ServerMap& servers, SliceMap& slices) {
@@ -109,7 +109,7 @@
   for (const auto& [table, slice] : slices) {
     if (!settings_.hasSingleOwnerSlices() && !slice.isPublished())
       routes_.plan(table, slice, servers, updates);
-    std::vector<Action> handover = ownership_.nextRoutes(table, slice);
+    std::vector<Action> handover = handover_.nextRoutes(table, slice);
     if (!handover.empty())
       updates.push_back({UpdatePriority::Critical, -slice.heat, table, std::move(handover)});
     if (settings_.admissionUnit == AdmissionUnit::Ratio) planRatios(table, slice, servers, updates);
@@ -171,7 +171,7 @@
     if (isRatio && ratios > mostRatios) continue;
     if (!append(pending.priority, pending.actions, update, servers, slices)) break;
   }
-  // Planned anew: a table may have a routable server only by what was just added.
+  // Planned again: a table may have a routable server only by what was just added.
   for (const SetEjection& ejection : sources_.ejections.plan(servers, slices))
     append(UpdatePriority::Critical, {ejection}, update, servers, slices);
   return update;
@@ -198,7 +198,7 @@
 void UpdateScheduler::publish(const SetRoute& route, SliceState& slice) {
   slice.publish(route);
   const bool beginsHandover = settings_.hasSingleOwnerSlices() && route.weight <= 0;
-  if (beginsHandover) SliceOwnership::beginHandover(slice, channel_.proxies(), channel_.nextUpdateId());
+  if (beginsHandover) SliceHandover::beginHandover(slice, channel_.proxies(), channel_.nextUpdateId());
 }
 
 void UpdateScheduler::publish(const SetAdmission& admission, SliceMap& slices) {
--- a/src/decision/update_scheduler.h
+++ b/src/decision/update_scheduler.h
@@ -11,7 +11,7 @@
 #include "decision/load_estimator.h"
 #include "decision/route_planner.h"
 #include "decision/server_state.h"
-#include "decision/slice_ownership.h"
+#include "decision/slice_handover.h"
 #include "decision/slice_state.h"
 #include "decision/slow_start.h"
 #include "decision/update_budget.h"
@@ -86,7 +86,7 @@
   UpdateChannel& channel_;
   ActionQueue& actions_;
   RoutePlanner routes_;
-  SliceOwnership ownership_;
+  SliceHandover handover_;
   DeliveryTracker delivery_;
   PublishedAdmission published_;
   bool hasNewProxies_ = false;  // since the last decision
--- a/src/decision/zone_statistics.h
+++ b/src/decision/zone_statistics.h
@@ -15,7 +15,7 @@
   [[nodiscard]] double failureShare() const { return attempts > 0 ? failures / attempts : 0; }
 };
 
-/// What the proxies of one zone met at a server, or at all servers of a zone.
+/// What the proxies of one zone experienced at a server, or at all servers of a zone.
 struct ZoneStatistics {
   DecayingSum attempts;
   DecayingSum failures;
