--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -149,7 +149,7 @@
       c.names = parseNames(Fields(f.required("settings"), "settings"));
       if (const wire::Value* known = f.optional("known")) {
         c.known = discovery::parseCatalog(*known, c.names, "known");
-        c.knownEndpoints = discovery::parseEndpoints(*known, "known");
+        c.knownEndpoints = discovery::parseSocketAddresses(*known, "known");
       }
       c.known.kind = EndpointListKind::Cached;
     });
--- a/src/discovery/catalog.h
+++ b/src/discovery/catalog.h
@@ -1,5 +1,4 @@
-// Discovery's JSON: the list of servers and its changes. Only the fields that the decisions need are taken
-// out.
+/// Codec of discovery's JSON: the endpoint list and its changes. Reads only the fields that decisions need.
 #pragma once
 
 #include <string>
@@ -10,19 +9,26 @@
 
 namespace peargrade::discovery {
 
-// The names that the protocol uses where the module counts from 0, in the order of the settings.
+/// The names that the protocols use where the decision module has an index from 0, in the order of the
+/// configuration's `settings`.
 struct Names {
-  std::vector<std::string> zones, kinds, classes;
+  std::vector<std::string> zones;
+  std::vector<std::string> kinds;
+  std::vector<std::string> classes;
 };
 
-// The place of a name, or -1.
+/// Index of `name` in `names`; -1 if it is not there.
 int indexOf(const std::vector<std::string>& names, const std::string& name);
 
-// One object {"rev":..,"all":..,"targets":[..]}. Throws ParseError.
+/// Reads one object {"rev":..,"all":..,"targets":[..]}. `where` is the place that errors name.
+/// Throws ParseError if a field is missing or invalid, or if a zone is not one of the settings.
 EndpointListUpdate parseCatalog(const wire::Value& value, const Names& names, const std::string& where);
-// The address and port that each entry names, in the order of the entries; "" where it names none.
-std::vector<std::string> parseEndpoints(const wire::Value& value, const std::string& where);
-// The same from bytes.
+
+/// The same from bytes. Throws ParseError also if they are not JSON.
 EndpointListUpdate parseCatalog(const std::string& bytes, const Names& names, const std::string& where);
 
+/// The socket address ("10.1.0.18:3000") of each target, in the order of the targets; "" where it has none.
+/// Throws ParseError.
+std::vector<std::string> parseSocketAddresses(const wire::Value& value, const std::string& where);
+
 }  // namespace peargrade::discovery
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,91 +1,86 @@
-// The server side's view of discovery: the whole list by GET and its changes by a chunked watch, over evhttp.
+/// Client of the discovery service: keeps the endpoint list known by polls and watches of its catalog.
 #pragma once
 
-#include <event2/http.h>
-
+#include <cstdint>
 #include <functional>
 #include <list>
-#include <memory>
+#include <string>
+#include <vector>
 
 #include "discovery/catalog.h"
+#include "discovery/catalog_request.h"
+#include "discovery/limits.h"
 #include "dispatch/dispatcher.h"
 #include "log/log.h"
-#include "net/line_splitter.h"
 #include "net/net.h"
 
 namespace peargrade::discovery {
 
+/// Serves the decision module's WatchEndpoints and PollEndpoints, and answers with EndpointListUpdate events:
+/// the list, its changes, or one `Failed` when the request that was in progress is lost. One request at a
+/// time; after a change of address the old one stays active until its successor has delivered.
 class Discovery {
  public:
-  struct Limits {
-    // An empty line comes every 2 s, and what discovery has to tell counts as told after 6 s: silence must be
-    // noticed, and the watch be back, within that. Bytes that end no line are silence as well.
-    Micros silence = 3000000;
-    Micros slowest = 12000000;  // up to here the limit on a first line or a whole list grows while bytes come
-    Micros connect = 500000;    // a dial; discovery is near
-    std::size_t line = 4 << 20;   // one object of the list
-    std::size_t body = 16 << 20;  // one answer; a watch that has told so much is opened anew
-    Micros redialLeast = 20000, redialMost = 250000;  // of a new address while the old one serves
-  };
+  using Limits = discovery::Limits;
+
+  /// `knownVersion`: version of the cached list, 0 if there is none. `names`, `dispatcher` and `log` outlive
+  /// it.
   Discovery(event_base* base, const net::Address& address, const Names& names, std::int64_t knownVersion,
-            dispatch::Dispatcher& exchange, log::Log& log, Limits limits);
+            dispatch::Dispatcher& dispatcher, log::Log& log, Limits limits);
   ~Discovery();
+  Discovery(const Discovery&) = delete;
+  Discovery& operator=(const Discovery&) = delete;
 
-  // Where what is told goes in place of the exchange: to those who make one list of several. With the address
-  // and port of each entry.
-  using Told = std::function<void(EndpointListUpdate, std::vector<std::string> endpoints)>;
-  void setListener(Told told) { told_ = std::move(told); }
+  /// Receives each update, with the socket address of each of its endpoints in their order ("" where it has
+  /// none).
+  using Listener = std::function<void(EndpointListUpdate, std::vector<std::string> socketAddresses)>;
+  /// Updates go to the listener instead of the dispatcher from now on: to the membership, which merges
+  /// several sources. `Failed` still goes to the dispatcher.
+  void setListener(Listener listener) { listener_ = std::move(listener); }
 
-  // Discovery is at another address from now on: a watch that stands serves until the new one has told.
+  /// Discovery has another address from now on. Make before break: an open watch stays active until the one
+  /// at the new address has delivered its first object.
   void moveTo(const net::Address& address);
 
  private:
-  using Kind = dispatch::Dispatcher::EndpointListRequest;
-  struct ConnectionFree {
-    void operator()(evhttp_connection* c) const { evhttp_connection_free(c); }
-  };
-  struct Call {
-    Call(Discovery& owner, Kind kind);
+  using RequestKind = CatalogRequest::Kind;
+  enum class Outcome { Completed, Failed };
 
-    Discovery& owner;
-    const Kind kind;
-    const net::Address to;
-    net::LineSplitter lines;
-    std::int64_t version;                      // that its objects build on
-    bool over = false;                         // waits only to be cleaned up
-    log::Reason error = log::Reason::Refused;  // what libevent says of a call without an answer
-    std::unique_ptr<evhttp_connection, ConnectionFree> connection;
-    net::IdleTimeout connecting, whole;  // whole: a line of the watch, the answer to a fetch
-  };
+  void handleRequest(dispatch::Dispatcher::EndpointListRequest request);
+  void requestList(RequestKind kind);
+  void closeWatches(const std::string& detail);
+  void beginPending();
+  void begin(RequestKind kind);
+  /// The first request that is not closed; nullptr if there is none.
+  CatalogRequest* active();
 
-  void want(Kind kind);
-  void begin(Kind kind);
-  Call* serving();  // the first that is not over
-  void onDialled(Call& call);
-  void onSlow(Call& call);
-  void onChunk(Call& call, evhttp_request* request);
-  void onDone(Call& call, evhttp_request* request);
-  void take(Call& call, const std::string& line);
-  // Ends a call once libevent is out of its callbacks, with one Failed event if asked for and nothing else
-  // serves.
-  void finish(Call& call, log::Reason reason, const std::string& detail, bool failed);
-  void cleanUp();
+  void receive(CatalogRequest& request, const std::string& json);
+  void apply(CatalogRequest& request, const wire::Value& object);
+  void retirePredecessors(const CatalogRequest& successor);
+  void handleTimeout(CatalogRequest& request);
+  /// Closes the request and logs why. After a failure of the active one without a successor the decision
+  /// module is notified; a successor that failed is tried again after a backoff.
+  void finish(CatalogRequest& request, log::Reason reason, const std::string& detail, Outcome outcome);
+  void destroyClosed();
 
   event_base* base_;
   net::Address address_;
   const Names& names_;
-  std::int64_t version_;
+  std::int64_t version_;  // of the last update that was passed on
   dispatch::Dispatcher& dispatcher_;
   log::Log& log_;
-  Limits limits_;
-  Told told_;
+  const Limits limits_;
+  Listener listener_;
 
-  std::list<Call> calls_;  // the one that serves, and after a move its successor behind it
-  bool watchNext_ = false, fetchNext_ = false;  // wanted once the call in hand is over
-  Micros patience_;                             // with the first line of a watch, and with a whole list
-  bool whole_ = false;                          // ask for the whole list: what is known here no longer fits
-  net::Backoff backoff_;
-  net::Timer cleaner_, redial_;
+  std::list<CatalogRequest>
+      requests_;               // the active one, behind it its successor; closed ones until destroyed
+  bool watchPending_ = false;  // begins once the request in progress is over
+  bool pollPending_ = false;
+  bool fullListNeeded_ = false;  // the list known here does not fit discovery's changes
+  Micros firstObjectTimeout_;    // adaptive: doubles with each timeout, up to the limit
+  net::Backoff reconnectBackoff_;
+  net::Timer destroyTimer_;
+  net::Timer reconnectTimer_;
 };
 
 }  // namespace peargrade::discovery
--- a/src/supervisor/node.cpp
+++ b/src/supervisor/node.cpp
@@ -45,8 +45,8 @@
 
 discovery::Discovery::Limits listLimits(const config::Config& config) {
   discovery::Discovery::Limits limits;
-  limits.body = Shares(config.limits.memoryMb).list;
-  limits.line = std::min(limits.line, limits.body);
+  limits.responseBytesMax = Shares(config.limits.memoryMb).list;
+  limits.objectBytesMax = std::min(limits.objectBytesMax, limits.responseBytesMax);
   return limits;
 }
 
