--- a/bench/merge_bench.cpp
+++ b/bench/merge_bench.cpp
@@ -18,12 +18,12 @@
   o.kind = Observation::Kind::Complete;
   o.asOf = now;
   for (std::int64_t k = 0; k < servers; ++k) {
-    Sighting s;
-    s.endpoint = at(k);
-    s.name = "host-" + std::to_string(k) + ".example.org";
+    ServiceRecord s;
+    s.address = at(k);
+    s.target = "host-" + std::to_string(k) + ".example.org";
     s.weight = 10;
-    s.until = now + 60 * kSecond;
-    o.seen.push_back(std::move(s));
+    s.expiresAt = now + 60 * kSecond;
+    o.records.push_back(std::move(s));
   }
   return o;
 }
@@ -32,8 +32,8 @@
   std::vector<RosterEntry> all;
   for (std::int64_t k = 0; k < servers; ++k) {
     RosterEntry e;
-    e.entry.server = "s-" + std::to_string(k);
-    e.endpoint = at(k);
+    e.endpoint.server = "s-" + std::to_string(k);
+    e.address = at(k);
     all.push_back(std::move(e));
   }
   return all;
@@ -45,9 +45,9 @@
   const Observation o = answer(state.range(0), 1000 * kSecond);
   for (auto _ : state) {
     Membership m(Settings{}, {false}, true, {}, 1000 * kSecond);
-    m.roster(EndpointListKind::Full, roster, 1000 * kSecond);
-    m.observe(o, 1000 * kSecond);
-    benchmark::DoNotOptimize(m.settle(1000 * kSecond));
+    m.applyRoster(EndpointListKind::Full, roster, 1000 * kSecond);
+    m.applyRecords(o, 1000 * kSecond);
+    benchmark::DoNotOptimize(m.reconcile(1000 * kSecond));
   }
   state.SetComplexityN(state.range(0));
 }
@@ -57,15 +57,15 @@
 void Refresh(benchmark::State& state) {
   Micros now = 1000 * kSecond;
   Membership m(Settings{}, {false}, false, {}, now);
-  m.observe(answer(state.range(0), now), now);
-  m.settle(now);
+  m.applyRecords(answer(state.range(0), now), now);
+  m.reconcile(now);
   for (auto _ : state) {
     state.PauseTiming();
     now += kSecond;
     const Observation o = answer(state.range(0), now);
     state.ResumeTiming();
-    m.observe(o, now);
-    benchmark::DoNotOptimize(m.settle(now));
+    m.applyRecords(o, now);
+    benchmark::DoNotOptimize(m.reconcile(now));
   }
   state.SetComplexityN(state.range(0));
 }
@@ -76,15 +76,15 @@
   Micros now = 1000 * kSecond;
   Membership m(Settings{}, {false}, true, {}, now);
   auto roster = rosterOf(state.range(0));
-  m.roster(EndpointListKind::Full, roster, now);
-  m.observe(answer(state.range(0), now), now);
-  m.settle(now);
+  m.applyRoster(EndpointListKind::Full, roster, now);
+  m.applyRecords(answer(state.range(0), now), now);
+  m.reconcile(now);
   RosterEntry one = roster[roster.size() / 2];
   for (auto _ : state) {
-    one.entry.state =
-        one.entry.state == EndpointState::Ready ? EndpointState::Draining : EndpointState::Ready;
-    m.roster(EndpointListKind::Delta, {one}, ++now);
-    benchmark::DoNotOptimize(m.settle(now));
+    one.endpoint.state =
+        one.endpoint.state == EndpointState::Ready ? EndpointState::Draining : EndpointState::Ready;
+    m.applyRoster(EndpointListKind::Delta, {one}, ++now);
+    benchmark::DoNotOptimize(m.reconcile(now));
   }
   state.SetComplexityN(state.range(0));
 }
--- a/src/locality/locality_map.cpp
+++ b/src/locality/locality_map.cpp
@@ -12,14 +12,14 @@
                        std::max(0, discovery::indexOf(names.kinds, p.kind)), p.podGroup});
 }
 
-bool LocalityMap::locate(const std::string& address, membership::Sighting& sighting) const {
+bool LocalityMap::locate(const std::string& address, membership::ServiceRecord& record) const {
   in_addr numbers{};
   const bool four = inet_pton(AF_INET, address.c_str(), &numbers) == 1;
   for (const At& at : ranges_) {
     if (four ? (ntohl(numbers.s_addr) & at.mask) != at.net : at.mask != 0) continue;
-    sighting.zone = at.zone;
-    sighting.kind = at.kind;
-    sighting.cell = at.cell;
+    record.zone = at.zone;
+    record.kind = at.kind;
+    record.cell = at.cell;
     return true;
   }
   return false;
--- a/src/locality/locality_map.h
+++ b/src/locality/locality_map.h
@@ -16,7 +16,7 @@
  public:
   LocalityMap(const std::vector<op::Place>& places, const discovery::Names& names);
   // False where no net holds the address. An IPv6 address is in a net of length 0 only.
-  bool locate(const std::string& address, membership::Sighting& sighting) const;
+  bool locate(const std::string& address, membership::ServiceRecord& record) const;
 
  private:
   struct At {
--- a/src/membership/explain.cpp
+++ b/src/membership/explain.cpp
@@ -1,50 +1,57 @@
-// The list for people: each server with what every source says of it and the rule that decides.
+// Membership: the list for people, each server with what every source says of it and the rule that decides.
 #include "membership/membership.h"
 
 namespace peargrade::membership {
+namespace {
 
-Membership::Explained Membership::explained(const ServerId& id, const std::string& endpoint,
-                                            const Desired& desired, Micros now) const {
-  Explained e;
-  e.endpoint = endpoint;
-  e.server = id;
-  const auto told = published_.find(id);
-  e.listed = told != published_.end();
-  if (e.listed) {
-    e.state = told->second.entry.state;
-    e.startedAt = told->second.entry.startedAt;
-    e.weight = told->second.entry.weight;
-  }
-  e.rule = e.listed && !desired.listed ? told->second.rule : desired.rule;
-  e.until = desired.until;
-  const auto listed = roster_.find(id);
-  if (listed != roster_.end())
-    e.roster = listed->second.entry.state == EndpointState::Ready ? "ready" : "draining";
-  const auto spot = spots_.find(endpoint);
-  if (spot == spots_.end()) return e;
-  if (e.roster.empty() && spot->second.goneAt != 0 && !spot->second.goneByRecords) e.roster = "gone";
-  for (const View& v : spot->second.views) e.records.push_back(textOf(v, now));
-  return e;
+std::string presenceText(const RecordView& view, Micros now) {
+  if (view.isUnconfirmed()) return "left out, second answer awaited";
+  return view.hasExpired(now) ? "expired" : "listed";
 }
 
-std::string Membership::textOf(const View& v, Micros now) {
-  if (!v.present) return v.seenAt == 0 ? "never listed" : "not listed";
-  const std::string says = v.confirmBy != 0      ? "left out, second answer awaited"
-                           : v.last.until <= now ? "expired"
-                                                 : "listed";
-  return says + " as " + v.last.name + " priority " + std::to_string(v.last.tier) + " weight " +
-         std::to_string(static_cast<int>(v.last.weight));
+std::string viewText(const RecordView& view, Micros now) {
+  if (!view.isPresent()) return view.lastListed == 0 ? "never listed" : "not listed";
+  const ServiceRecord& record = view.record;
+  return presenceText(view, now) + " as " + record.target + " priority " + std::to_string(record.priority) +
+         " weight " + std::to_string(static_cast<int>(record.weight));
 }
 
-std::vector<Membership::Explained> Membership::explain(Micros now) const {
-  std::vector<Explained> all;
-  for (const auto& [uid, listed] : roster_)
-    all.push_back(explained(uid, listed.endpoint, desiredByRoster(uid, listed, now), now));
-  for (const auto& [endpoint, spot] : spots_) {
-    if (spot.uids.empty())
-      all.push_back(explained(endpoint, endpoint, desiredByRecords(endpoint, spot, now), now));
+}  // namespace
+
+std::vector<Explanation> Membership::explain(Micros now) const {
+  std::vector<Explanation> all;
+  for (const auto& [server, entry] : known_.roster)
+    all.push_back(explainServer(server, entry.address, rules_.byRoster(server, entry, now), now));
+  for (const auto& [address, state] : known_.addresses) {
+    if (state.rosterServers.empty())
+      all.push_back(explainServer(address, address, rules_.byRecords(address, state, now), now));
   }
   return all;
 }
 
+Explanation Membership::explainServer(const ServerId& server, const std::string& address,
+                                      const DesiredState& desired, Micros now) const {
+  Explanation explanation;
+  explanation.address = address;
+  explanation.server = server;
+  explanation.rule = desired.rule;
+  explanation.until = desired.until;
+  if (const PublishedList::Entry* const entry = published_.find(server)) {
+    explanation.listed = true;
+    explanation.state = entry->endpoint.state;
+    explanation.startedAt = entry->endpoint.startedAt;
+    explanation.weight = entry->endpoint.weight;
+    if (!desired.listed) explanation.rule = entry->rule;
+  }
+  const auto listed = known_.roster.find(server);
+  if (listed != known_.roster.end())
+    explanation.roster = listed->second.endpoint.state == EndpointState::Ready ? "ready" : "draining";
+  const auto found = known_.addresses.find(address);
+  if (found == known_.addresses.end()) return explanation;
+  const AddressState& state = found->second;
+  if (explanation.roster.empty() && state.removal.by == Removal::By::Roster) explanation.roster = "gone";
+  for (const RecordView& view : state.views) explanation.records.push_back(viewText(view, now));
+  return explanation;
+}
+
 }  // namespace peargrade::membership
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -1,190 +1,199 @@
-// What records list and leave out: sightings on spots, lifetimes, second answers.
+// Membership: what records list and leave out.
 #include <algorithm>
-#include <tuple>
 #include <utility>
 
 #include "membership/membership.h"
 
 namespace peargrade::membership {
+namespace {
 
-bool Membership::anyPresent(const Spot& spot) const {
-  return std::any_of(spot.views.begin(), spot.views.end(), [](const View& v) { return v.present; });
+// Whether a record changes how the address may stand in the list.
+bool changesView(const RecordView& view, const ServiceRecord& listed, Micros asOf) {
+  const ServiceRecord& record = view.record;
+  return !view.isPresent() || view.isUnconfirmed() || view.hasExpired(asOf) ||
+         record.priority != listed.priority || record.weight != listed.weight || record.zone != listed.zone ||
+         record.kind != listed.kind || record.cell != listed.cell;
 }
 
-// The spot at this address, made if there is none; null where no more servers are held.
-Membership::Spot* Membership::spotAt(const std::string& endpoint) {
-  const auto at = spots_.find(endpoint);
-  if (at != spots_.end()) return &at->second;
-  if (spots_.size() >= settings_.serversMost) return nullptr;
-  Spot& spot = spots_[endpoint];
-  spot.views.resize(sources_.size());
-  return &spot;
+// Whether the record says that the server drains, and did not say so before. A repeated drain is the one of
+// then; a new one concerns the server as it runs now.
+bool beginsDrain(const AddressState& state, const RecordView& view, const ServiceRecord& listed) {
+  if (listed.state != EndpointState::Draining) return false;
+  const bool repeated =
+      view.presence == RecordView::Presence::Listed && view.record.state == EndpointState::Draining;
+  return state.drainedAt == 0 || !repeated;
 }
 
-// Its start, as far as records show it: the first sighting after it was absent. An answer from the same
-// moment as the one that took it out shows no new start.
-void Membership::noteStart(Spot& spot, const Sighting& s, Micros asOf, bool warm) const {
-  if (asOf <= spot.absentAsOf && spot.absentAsOf != 0) return;
-  if (anyPresent(spot)) {
-    spot.startedAt = std::min(spot.startedAt, asOf);
-    return;
-  }
-  const auto known = knownStart_.find(s.endpoint);
-  spot.startedAt = known != knownStart_.end() ? known->second
-                   : s.startedAt > 0          ? s.startedAt
-                   : warm                     ? 0
-                                              : asOf;
+// Whether a complete observation no longer offers the address.
+bool leavesOut(const Observation& observation, const std::set<std::string>& offered,
+               const std::string& address, const RecordView& view) {
+  if (!view.isPresent() || offered.count(address) != 0) return false;
+  // Another response from the same moment listed it.
+  if (view.lastListed >= observation.asOf) return false;
+  return observation.unresolvedTargets.count(view.record.target) == 0;
 }
 
-// Whether a sighting is news of the spot.
-bool Membership::changes(const Spot& spot, const View& view, const Sighting& s, Micros asOf) {
-  return !view.present || view.last.until <= asOf || view.confirmBy != 0 || spot.leaving ||
-         view.last.tier != s.tier || view.last.weight != s.weight || view.last.zone != s.zone ||
-         view.last.kind != s.kind || view.last.cell != s.cell;
+}  // namespace
+
+void Membership::applyRecords(const Observation& observation, Micros now) {
+  if (observation.source >= known_.sources.size()) return;
+  RecordSource& source = known_.sources[observation.source];
+  if (observation.asOf < source.lastComplete) return;
+  const bool complete = observation.kind == Observation::Kind::Complete;
+  const bool warm = complete && !source.hasCompleted && settings_.firstResponseIsWarm;
+  for (const ServiceRecord& record : observation.records) {
+    if (!applyRecord(observation.source, record, observation.asOf, warm)) ++rejectedServers_;
+  }
+  if (complete) {
+    applyAbsences(observation, now);
+    if (!source.hasCompleted && known_.rosterStatus == RosterStatus::NotConfigured) updateOwed_ = true;
+    source.completedAt(observation.asOf);
+  }
+  recountTiers(observation.source, now);
 }
 
-void Membership::update(View& view, const Source& from, const Sighting& s, Micros asOf) {
-  if (!view.present) {
-    if (view.seenAt == 0 || asOf > view.goneAsOf) {
-      view.appearedAt = asOf;
-      view.absentAt = from.lastComplete < asOf ? from.lastComplete : from.previousComplete;
-    }
-    view.last = s;
-  } else if (asOf == view.seenAt) {
-    // Two answers from the same moment: the better of both, whichever came first.
-    view.last.until = std::max(view.last.until, s.until);
-    if (std::tuple(s.tier, -s.weight) < std::tuple(view.last.tier, -view.last.weight)) {
-      view.last.tier = s.tier;
-      view.last.weight = s.weight;
-    }
-  } else if (asOf > view.seenAt) {
-    const Micros until = std::max(view.last.until, s.until);
-    view.last = s;
-    view.last.until = until;
+// False if the address is unknown and no more are taken.
+bool Membership::applyRecord(std::size_t source, const ServiceRecord& record, Micros asOf, bool warm) {
+  const auto found = known_.addresses.find(record.address);
+  const bool isKnown = found != known_.addresses.end();
+  if (!isKnown && known_.addresses.size() >= settings_.serversMax) return false;
+  AddressState& state = isKnown ? found->second : addressState(record.address);
+  RecordView& view = state.views[source];
+  const bool authority = known_.sources[source].authority;
+  if (authority && beginsDrain(state, view, record)) {
+    state.drainedAt = asOf;
+    markChanged(record.address);
   }
-  view.present = true;
+  noteStart(state, record, asOf, warm);
+  if (changesView(view, record, asOf) || departures_.contains(record.address)) markChanged(record.address);
+  view.refresh(record, asOf, known_.sources[source].completeBefore(asOf));
+  if (authority) applyAuthority(state, view, record);
+  state.forgetAt = 0;
+  return true;
 }
 
-// What a source with authority says beyond the address: a start, the end of a drain, that it is back.
-void Membership::applyAuthority(Spot& spot, const View& view, const Sighting& s) {
-  if (s.startedAt > 0 && s.startedAt != spot.startedAt) {
-    spot.startedAt = s.startedAt;
-    markDirty(s.endpoint);
+// What a source with authority says beyond the address: a start, the end of a drain, the end of its own
+// removal.
+void Membership::applyAuthority(AddressState& state, const RecordView& view, const ServiceRecord& record) {
+  if (record.startedAt > 0 && record.startedAt != state.startedAt) {
+    state.startedAt = record.startedAt;
+    markChanged(record.address);
   }
-  // A drain ends with a new start only: said, or seen as a going and a coming.
-  const bool again = s.startedAt > spot.drainedAt || view.absentAt > spot.drainedAt;
-  if (spot.drainedAt != 0 && s.state == EndpointState::Ready && again) {
-    spot.drainedAt = 0;
-    markDirty(s.endpoint);
+  // A drain ends with a new start, either stated or seen as an absence.
+  const bool restarted = record.startedAt > state.drainedAt || view.absentAt > state.drainedAt;
+  if (state.drainedAt != 0 && record.state == EndpointState::Ready && restarted) {
+    state.drainedAt = 0;
+    markChanged(record.address);
   }
-  // What it took out itself it may put back: cold, as it was absent.
-  if (spot.goneAt != 0 && spot.goneByRecords && view.appearedAt > spot.goneAt) {
-    spot.goneAt = 0;
-    markDirty(s.endpoint);
+  if (state.removal.by == Removal::By::Records && view.appearedAt > state.removal.at) {
+    state.removal = {};
+    markChanged(record.address);
   }
 }
 
-// False where no more servers are held.
-bool Membership::applySighting(std::size_t source, const Sighting& s, Micros asOf, bool warm) {
-  Spot* const at = spotAt(s.endpoint);
-  if (at == nullptr) return false;
-  Spot& spot = *at;
-  View& view = spot.views[source];
-  const bool authority = sources_[source].authority;
-  // Said anew, it is a drain of the server as it is now; said on and on, it is the one of then.
-  const bool anewDrained = !view.present || view.goneAsOf != 0 || view.last.state != EndpointState::Draining;
-  if (authority && s.state == EndpointState::Draining && (spot.drainedAt == 0 || anewDrained)) {
-    spot.drainedAt = asOf;
-    markDirty(s.endpoint);
+// The start as far as records show it: the first one since the address was absent. A response from the same
+// moment as the one that removed it shows no new start.
+void Membership::noteStart(AddressState& state, const ServiceRecord& record, Micros asOf, bool warm) const {
+  if (state.absentSince != 0 && asOf <= state.absentSince) return;
+  if (state.isPresent()) {
+    state.startedAt = std::min(state.startedAt, asOf);
+    return;
+  }
+  const auto cached = cachedStarts_.find(record.address);
+  if (cached != cachedStarts_.end())
+    state.startedAt = cached->second;
+  else if (record.startedAt > 0)
+    state.startedAt = record.startedAt;
+  else
+    state.startedAt = warm ? 0 : asOf;
+}
+
+// Removes what a complete response leaves out. If that takes much of the pool at once, a second response has
+// to confirm it.
+void Membership::applyAbsences(const Observation& observation, Micros now) {
+  std::set<std::string> offered;
+  for (const ServiceRecord& record : observation.records) offered.insert(record.address);
+  std::vector<std::string> unconfirmed;
+  for (auto& [address, state] : known_.addresses) {
+    RecordView& view = state.views[observation.source];
+    if (!leavesOut(observation, offered, address, view)) continue;
+    const bool confirms = view.isUnconfirmed() && view.leftOutAt < observation.asOf;
+    if (confirms || !removalCostsReadyServer(address, state, view))
+      removeRecord(address, state, view, observation.asOf);
+    else if (!view.isUnconfirmed())
+      unconfirmed.push_back(address);
+  }
+  const double removableAtOnce =
+      std::max(1.0, settings_.confirmationShare * static_cast<double>(published_.readyCount()));
+  const bool needsConfirmation = static_cast<double>(unconfirmed.size()) > removableAtOnce;
+  for (const std::string& address : unconfirmed) {
+    AddressState& state = known_.addresses.at(address);
+    RecordView& view = state.views[observation.source];
+    if (needsConfirmation) {
+      view.awaitConfirmation(observation.asOf, now + settings_.confirmationTimeout);
+      markChanged(address);
+    } else {
+      removeRecord(address, state, view, observation.asOf);
+    }
   }
-  noteStart(spot, s, asOf, warm);
-  const bool changed = changes(spot, view, s, asOf);
-  update(view, sources_[source], s, asOf);
-  if (authority) applyAuthority(spot, view, s);
-  view.seenAt = std::max(view.seenAt, asOf);
-  view.confirmBy = 0;
-  view.goneAsOf = 0;
-  spot.forgetAt = 0;
-  if (changed) markDirty(s.endpoint);
-  return true;
 }
 
-// Its time is over: past the stale bound, or left out and no second answer came.
-bool Membership::overdue(const View& view, Micros now) const {
-  return view.confirmBy != 0 ? now >= view.confirmBy : now >= view.last.until + settings_.staleFor;
+bool Membership::removalCostsReadyServer(const std::string& address, const AddressState& state,
+                                         const RecordView& view) const {
+  const bool authority = known_.sources[view.source].authority;
+  const bool onlySource = std::none_of(state.views.begin(), state.views.end(), [&](const RecordView& other) {
+    return &other != &view && other.isPresent();
+  });
+  if ((onlySource || authority) && published_.isReady(address)) return true;
+  return authority && std::any_of(state.rosterServers.begin(), state.rosterServers.end(),
+                                  [&](const ServerId& server) { return published_.isReady(server); });
 }
 
-void Membership::takeOut(const std::string& endpoint, Spot& spot, View& view, Micros asOf) {
-  view.present = false;
-  view.confirmBy = 0;
-  view.goneAsOf = asOf;
-  if (sources_[static_cast<std::size_t>(&view - spot.views.data())].authority) {
-    spot.goneAt = asOf;
-    spot.goneByRecords = true;
-    spot.takenBack = false;
-  }
-  if (!anyPresent(spot)) {
-    spot.absentAsOf = std::max(spot.absentAsOf, asOf);
-    knownStart_.erase(endpoint);
+void Membership::removeRecord(const std::string& address, AddressState& state, RecordView& view,
+                              Micros asOf) {
+  view.remove(asOf);
+  if (known_.sources[view.source].authority) state.removal = {Removal::By::Records, asOf, false};
+  if (!state.isPresent()) {
+    state.absentSince = std::max(state.absentSince, asOf);
+    cachedStarts_.erase(address);
   }
-  markDirty(endpoint);
+  markChanged(address);
 }
 
-// What a complete answer does not list. If that would take much of the pool at once, it waits for a second
-// answer.
-void Membership::leaveOut(const Observation& o, Micros now) {
-  std::set<std::string> seen;
-  for (const Sighting& s : o.seen) seen.insert(s.endpoint);
-  std::vector<std::string> first;
-  for (auto& [endpoint, spot] : spots_) {
-    View& view = spot.views[o.source];
-    // Seen by an answer from the same moment: it is not left out.
-    if (!view.present || seen.count(endpoint) != 0 || view.seenAt >= o.asOf) continue;
-    if (o.unsure.count(view.last.name) != 0) continue;
-    const bool alone = std::none_of(spot.views.begin(), spot.views.end(),
-                                    [&](const View& v) { return &v != &view && v.present; });
-    const auto isReady = [&](const ServerId& id) {
-      const auto told = published_.find(id);
-      return told != published_.end() && told->second.entry.state == EndpointState::Ready;
-    };
-    const bool authority = sources_[o.source].authority;
-    const bool takes = ((alone || authority) && isReady(endpoint)) ||
-                       (authority && std::any_of(spot.uids.begin(), spot.uids.end(), isReady));
-    if (!takes || (view.confirmBy != 0 && view.goneAsOf < o.asOf)) {
-      takeOut(endpoint, spot, view, o.asOf);
-    } else if (view.confirmBy == 0) {
-      first.push_back(endpoint);
-    }
+void Membership::recountTiers(std::size_t source, Micros now) {
+  SourceTiers::Counts counts;
+  for (const auto& [address, state] : known_.addresses) {
+    const RecordView& view = state.views[source];
+    if (!view.isPresent()) continue;
+    SourceTiers::Count& count = counts[view.record.priority];
+    ++count.present;
+    if (rules_.isUsable(state)) ++count.usable;
+    count.weight += view.record.weight;
   }
-  const double most = std::max(1.0, settings_.confirmShare * static_cast<double>(ready_));
-  const bool waits = static_cast<double>(first.size()) > most;
-  for (const std::string& endpoint : first) {
-    Spot& spot = spots_[endpoint];
-    View& view = spot.views[o.source];
-    if (!waits) {
-      takeOut(endpoint, spot, view, o.asOf);
-    } else {
-      view.goneAsOf = o.asOf;
-      view.confirmBy = now + settings_.confirmWithin;
-      markDirty(endpoint);
-    }
+  const SourceTiers::Changes changes = known_.sources[source].tiers.recount(counts, settings_, now);
+  for (const Micros at : changes.recountAt) schedule_.scheduleTiers(at);
+  if (!changes.meanWeights) return;
+  for (const auto& [address, state] : known_.addresses) {
+    if (state.views[source].isPresent()) markChanged(address);
   }
 }
 
-void Membership::observe(const Observation& o, Micros now) {
-  if (o.source >= sources_.size()) return;
-  Source& source = sources_[o.source];
-  if (o.asOf < source.lastComplete) return;  // a later answer has said all there is
-  const bool complete = o.kind == Observation::Kind::Complete;
-  const bool warm = complete && !source.spoken && settings_.firstAnswerWarm;
-  for (const Sighting& s : o.seen) overfull_ += !applySighting(o.source, s, o.asOf, warm);
-  if (complete) {
-    leaveOut(o, now);
-    if (o.asOf > source.lastComplete) source.previousComplete = std::exchange(source.lastComplete, o.asOf);
-    if (!source.spoken && !withRoster_) heard_ = true;
-    source.spoken = true;
+void Membership::updateTiers(Micros now) {
+  for (std::size_t source = 0; source < known_.sources.size(); ++source) {
+    SourceTiers& tiers = known_.sources[source].tiers;
+    if (tiers.size() < 2) {
+      tiers.useAll();
+      continue;
+    }
+    recountTiers(source, now);
+    const std::vector<int> changed = tiers.updateUse(settings_);
+    if (changed.empty()) continue;
+    for (const auto& [address, state] : known_.addresses) {
+      const RecordView& view = state.views[source];
+      const bool affected = std::find(changed.begin(), changed.end(), view.record.priority) != changed.end();
+      if (view.isPresent() && affected) markChanged(address);
+    }
   }
-  recount(o.source, now);
 }
 
 }  // namespace peargrade::membership
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -1,90 +1,91 @@
-// What the roster lists, drains and takes out.
+// Membership: what the roster lists, drains and removes.
 #include "membership/membership.h"
 
 namespace peargrade::membership {
 
-// The spot of a server of the roster; where its address changes, the old spot is no longer its own.
-void Membership::moveSpot(const ServerId& uid, Listed& listed, const std::string& endpoint) {
-  if (listed.endpoint == endpoint && !endpoint.empty() && spots_.count(endpoint) != 0 &&
-      spots_[endpoint].uids.count(uid) != 0)
+void Membership::applyRoster(EndpointListKind kind, const std::vector<RosterEntry>& entries, Micros now) {
+  if (known_.rosterStatus == RosterStatus::NotConfigured) return;
+  if (kind == EndpointListKind::Failed || kind == EndpointListKind::Cached) return;
+  updateOwed_ = true;
+  if (kind == EndpointListKind::Full) {
+    fullListRequested_ = true;
+    removeMissingFromRoster(entries, now);
+  }
+  for (const RosterEntry& entry : entries) {
+    if (entry.endpoint.state == EndpointState::Removed)
+      removeRosterServer(entry.endpoint.server, now);
+    else
+      addRosterServer(entry);
+  }
+  if (known_.rosterStatus == RosterStatus::Received) return;
+  known_.rosterStatus = RosterStatus::Received;
+  // Servers of records that waited for the roster may be listed now.
+  for (const auto& [address, state] : known_.addresses) markChanged(address);
+}
+
+void Membership::addRosterServer(const RosterEntry& entry) {
+  const bool isKnown = known_.roster.count(entry.endpoint.server) != 0;
+  if (!isKnown && known_.roster.size() >= settings_.serversMax) {
+    ++rejectedServers_;
     return;
-  const auto old = spots_.find(listed.endpoint);
-  if (!listed.endpoint.empty() && old != spots_.end()) {
-    old->second.uids.erase(uid);
-    markDirty(listed.endpoint);
   }
-  listed.endpoint = endpoint;
-  if (endpoint.empty()) return;
-  Spot& spot = spots_[endpoint];
-  spot.views.resize(sources_.size());
-  spot.uids.insert(uid);
-  markDirty(endpoint);
+  setRosterEntry(entry);
+  changedRosterServers_.insert(entry.endpoint.server);
+  if (entry.address.empty()) return;
+  markChanged(entry.address);
+  if (entry.endpoint.state != EndpointState::Ready) return;
+  // The roster may revoke its own removal; that of another authority ends with a new start only.
+  Removal& removal = known_.addresses.at(entry.address).removal;
+  if (removal.by != Removal::By::Records || entry.endpoint.startedAt > removal.at) removal = {};
 }
 
-// Gone by the roster: records that were there before do not bring it back.
-void Membership::unlist(const ServerId& uid, Micros now) {
-  const auto at = roster_.find(uid);
-  if (at == roster_.end()) return;
-  const auto spot = spots_.find(at->second.endpoint);
-  if (spot != spots_.end()) {
-    spot->second.uids.erase(uid);
-    if (spot->second.uids.empty()) {
-      spot->second.goneAt = now;
-      spot->second.goneByRecords = false;
-      spot->second.takenBack = false;
-    }
-    markDirty(spot->first);
+// Records from before the removal do not bring the server back.
+void Membership::removeRosterServer(const ServerId& server, Micros now) {
+  const auto found = known_.roster.find(server);
+  if (found == known_.roster.end()) return;
+  const auto address = known_.addresses.find(found->second.address);
+  if (address != known_.addresses.end()) {
+    AddressState& state = address->second;
+    state.rosterServers.erase(server);
+    if (state.rosterServers.empty()) state.removal = {Removal::By::Roster, now, false};
+    markChanged(address->first);
   }
-  roster_.erase(at);
-  dirtyUids_.insert(uid);
+  known_.roster.erase(found);
+  changedRosterServers_.insert(server);
 }
 
-// A whole list says that what it leaves out is gone.
-void Membership::unlistMissing(const std::vector<RosterEntry>& entries, Micros now) {
-  std::set<ServerId> there;
-  for (const RosterEntry& e : entries) there.insert(e.entry.server);
-  std::vector<ServerId> gone;
-  for (const auto& [uid, listed] : roster_) {
-    if (there.count(uid) == 0) gone.push_back(uid);
+void Membership::removeMissingFromRoster(const std::vector<RosterEntry>& entries, Micros now) {
+  std::set<ServerId> listed;
+  for (const RosterEntry& entry : entries) listed.insert(entry.endpoint.server);
+  std::vector<ServerId> missing;
+  for (const auto& [server, entry] : known_.roster) {
+    if (listed.count(server) == 0) missing.push_back(server);
   }
-  for (const ServerId& uid : gone) unlist(uid, now);
+  for (const ServerId& server : missing) removeRosterServer(server, now);
 }
 
-void Membership::list(const RosterEntry& e) {
-  const bool held = roster_.count(e.entry.server) != 0;
-  if (!held && roster_.size() >= settings_.serversMost) {
-    ++overfull_;
+// Where the server's address changes, the old one is no longer its own.
+void Membership::setRosterEntry(const RosterEntry& entry) {
+  const ServerId& server = entry.endpoint.server;
+  RosterEntry& current = known_.roster[server];
+  const std::string previousAddress = current.address;
+  current = entry;
+  const auto previous = known_.addresses.find(previousAddress);
+  const bool hadAddress = !previousAddress.empty() && previous != known_.addresses.end();
+  if (hadAddress && previousAddress == entry.address && previous->second.rosterServers.count(server) != 0)
     return;
+  if (hadAddress) {
+    previous->second.rosterServers.erase(server);
+    markChanged(previousAddress);
   }
-  Listed& listed = roster_[e.entry.server];
-  listed.entry = e.entry;
-  moveSpot(e.entry.server, listed, e.endpoint);
-  if (!e.endpoint.empty() && e.entry.state == EndpointState::Ready) {
-    Spot& spot = spots_[e.endpoint];
-    // Its own word the roster may take back; another authority's only with a new start.
-    if (!spot.goneByRecords || e.entry.startedAt > spot.goneAt) spot.goneAt = 0;
-  }
-  dirtyUids_.insert(e.entry.server);
-  if (!e.endpoint.empty()) markDirty(e.endpoint);
+  if (entry.address.empty()) return;
+  addressState(entry.address).rosterServers.insert(server);
+  markChanged(entry.address);
 }
 
-void Membership::roster(EndpointListKind mode, const std::vector<RosterEntry>& entries, Micros now) {
-  if (!withRoster_ || mode == EndpointListKind::Failed || mode == EndpointListKind::Cached) return;
-  heard_ = true;
-  if (mode == EndpointListKind::Full) {
-    whole_ = true;
-    unlistMissing(entries, now);
-  }
-  for (const RosterEntry& e : entries) {
-    if (e.entry.state == EndpointState::Removed) {
-      unlist(e.entry.server, now);
-      continue;
-    }
-    list(e);
-  }
-  if (rosterSpoke_) return;
-  rosterSpoke_ = true;  // what waited for it may come
-  for (const auto& [endpoint, spot] : spots_) markDirty(endpoint);
+// Added if it is unknown.
+AddressState& Membership::addressState(const std::string& address) {
+  return known_.addresses.try_emplace(address, known_.sources.size()).first->second;
 }
 
 }  // namespace peargrade::membership
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -1,4 +1,4 @@
-// What the operator's file says of how several sources become one list. Times in microseconds.
+/// Settings of the membership: the `merge` block of the operator's file.
 #pragma once
 
 #include <cstddef>
@@ -7,24 +7,50 @@
 
 namespace peargrade::membership {
 
-// The `merge` block of the operator's file; shares from 0 to 1.
+/// Whose weight and priority count for a server that the roster lists.
+enum class WeightSource {
+  Roster,   // the roster's weight; priorities of records do not matter
+  Records,  // weight and priority of the records
+};
+
+/// How several sources become one list. Times in microseconds, shares from 0 to 1. Behind each field stands
+/// the operator's word for it.
 struct Settings {
-  Micros staleFor = 60000000;       // what one source without authority alone knew goes so long after its end
-  double stepShare = 0.1;           // and then at most this share of the pool at a time (at least one)
-  Micros stepEvery = 5000000;       // one step in so long
-  double confirmShare = 0.3;        // a complete answer that takes more waits for a second one
-  Micros confirmWithin = 30000000;  // or this long, and then goes in steps
-  double tierLeast = 0.5;           // a lower tier joins when this share of the upper is not there
-  double tierBack = 0.7;            // and leaves when this share is back
-  double weightMargin = 0.1;        // a weight that changes by no more than this share is no news
-  Micros flapSpan = 60000000;       // a server that came back more often than flapTurns in this span
-  int flapTurns = 2;                //
-  Micros flapHold = 60000000;       // waits so long before it comes back again
-  Micros rosterFirst = 3000000;     // after the start the roster is waited for so long
-  std::size_t keepLeast = 1;        // sources without authority never take the last so many
-  std::size_t serversMost = 50000;  // held in all; more are left out
-  bool rosterWeights = true;        // the roster's weight goes before another source's
-  bool firstAnswerWarm = false;     // what the first complete answer lists has run for long
+  /// How long a server that only records without authority list stays listed after they expired. `stale`.
+  Micros staleRetention = 60000000;
+  /// Servers that leave in one removal step, as a share of the ready ones; at least one. `step-share`.
+  double removalStepShare = 0.1;
+  /// Time between removal steps. `step-every`.
+  Micros removalStepInterval = 5000000;
+  /// A complete response that leaves out more than this share of the ready servers needs a second one to
+  /// confirm it. `confirm-share`.
+  double confirmationShare = 0.3;
+  /// Without a second response the servers leave in steps after this time. `confirm-within`.
+  Micros confirmationTimeout = 30000000;
+  /// A tier joins when the usable share of the tiers above it falls below this. `tier-least`.
+  double tierJoinShare = 0.5;
+  /// A tier leaves when the usable share of the tiers above it has reached this. `tier-back`.
+  double tierLeaveShare = 0.7;
+  /// A change of weight by up to this share is not published. `weight-margin`.
+  double weightTolerance = 0.1;
+  /// A server that returned `flapReturnsMax` times within this time is held back. `flap-span`.
+  Micros flapWindow = 60000000;
+  /// `flap-turns`.
+  int flapReturnsMax = 2;
+  /// How long it is held back after its last return. `flap-hold`.
+  Micros flapHoldTime = 60000000;
+  /// How long servers of records wait for the roster after the start. `roster-first`.
+  Micros rosterStartupTimeout = 3000000;
+  /// Records without authority never remove the last ready servers up to this number. `keep-least`.
+  std::size_t minimumReady = 1;
+  /// Bound on the servers of the roster and on the addresses that are known; further ones are rejected.
+  /// `servers`.
+  std::size_t serversMax = 50000;
+  /// `weights`: "roster" or "srv".
+  WeightSource weightSource = WeightSource::Roster;
+  /// Servers of the first complete response have been running for long and need no slow start.
+  /// `first-answer-warm`.
+  bool firstResponseIsWarm = false;
 };
 
 }  // namespace peargrade::membership
--- a/src/operator/sources_section.cpp
+++ b/src/operator/sources_section.cpp
@@ -51,22 +51,23 @@
 
 membership::Settings mergeOf(const Section& s) {
   membership::Settings m;
-  m.staleFor = s.micros("stale");
-  m.stepShare = s.one("step-share").number;
-  m.stepEvery = s.micros("step-every");
-  m.confirmShare = s.one("confirm-share").number;
-  m.confirmWithin = s.micros("confirm-within");
-  m.tierLeast = s.one("tier-least").number;
-  m.tierBack = s.one("tier-back").number;
-  m.weightMargin = s.one("weight-margin").number;
-  m.flapSpan = s.micros("flap-span");
-  m.flapTurns = static_cast<int>(s.whole("flap-turns"));
-  m.flapHold = s.micros("flap-hold");
-  m.rosterFirst = s.micros("roster-first");
-  m.keepLeast = static_cast<std::size_t>(s.whole("keep-least"));
-  m.serversMost = static_cast<std::size_t>(s.whole("servers"));
-  m.rosterWeights = s.one("weights").text == "roster";
-  m.firstAnswerWarm = s.one("first-answer-warm").yes;
+  m.staleRetention = s.micros("stale");
+  m.removalStepShare = s.one("step-share").number;
+  m.removalStepInterval = s.micros("step-every");
+  m.confirmationShare = s.one("confirm-share").number;
+  m.confirmationTimeout = s.micros("confirm-within");
+  m.tierJoinShare = s.one("tier-least").number;
+  m.tierLeaveShare = s.one("tier-back").number;
+  m.weightTolerance = s.one("weight-margin").number;
+  m.flapWindow = s.micros("flap-span");
+  m.flapReturnsMax = static_cast<int>(s.whole("flap-turns"));
+  m.flapHoldTime = s.micros("flap-hold");
+  m.rosterStartupTimeout = s.micros("roster-first");
+  m.minimumReady = static_cast<std::size_t>(s.whole("keep-least"));
+  m.serversMax = static_cast<std::size_t>(s.whole("servers"));
+  const bool byRoster = s.one("weights").text == "roster";
+  m.weightSource = byRoster ? membership::WeightSource::Roster : membership::WeightSource::Records;
+  m.firstResponseIsWarm = s.one("first-answer-warm").yes;
   return m;
 }
 
@@ -125,7 +126,7 @@
     complain(sources.place, "sources.dns.server", "none", "at least one, since there is an srv source");
   if (!o.sources() && !o.roster)
     complain(sources.one("roster").place, "sources.roster", "false and no other", "at least one source");
-  if (o.merge.tierBack < o.merge.tierLeast)
+  if (o.merge.tierLeaveShare < o.merge.tierJoinShare)
     complain(sources.block("merge").place, "sources.merge.tier-back", "less than tier-least",
              "at least tier-least, or tiers would join and leave by turns");
   if (o.dns.ttlMost < o.dns.ttlLeast)
--- a/src/operator/table.cpp
+++ b/src/operator/table.cpp
@@ -21,9 +21,10 @@
     out << "dns       ";
     for (const net::Address& a : o.dns.servers) out << ' ' << a.text();
     out << ", lifetimes " << o.dns.ttlLeast / 1000 << " to " << o.dns.ttlMost / 1000 << " ms, stale "
-        << o.dns.staleFor / 1000 << " ms\nmerge      stale " << o.merge.staleFor / 1000 << " ms, steps of "
-        << o.merge.stepShare << " every " << o.merge.stepEvery / 1000 << " ms, more than "
-        << o.merge.confirmShare << " at once waits " << o.merge.confirmWithin / 1000 << " ms\n";
+        << o.dns.staleFor / 1000 << " ms\nmerge      stale " << o.merge.staleRetention / 1000
+        << " ms, steps of " << o.merge.removalStepShare << " every " << o.merge.removalStepInterval / 1000
+        << " ms, more than " << o.merge.confirmationShare << " at once waits "
+        << o.merge.confirmationTimeout / 1000 << " ms\n";
   }
   return out.str();
 }
--- a/src/sources/commands.cpp
+++ b/src/sources/commands.cpp
@@ -121,7 +121,7 @@
   return holds();
 }
 
-using Rows = std::vector<membership::Membership::Explained>;
+using Rows = std::vector<membership::Explanation>;
 
 void rowsAsJson(const Rows& rows, const op::Operator& op, Micros now) {
   rapidjson::OStreamWrapper stream(std::cout);
@@ -130,7 +130,7 @@
   for (const auto& e : rows) {
     out.StartObject();
     text(out, "server", e.server);
-    text(out, "endpoint", e.endpoint);
+    text(out, "endpoint", e.address);
     out.Key("listed");
     out.Bool(e.listed);
     text(out, "state",
--- a/src/sources/sources.cpp
+++ b/src/sources/sources.cpp
@@ -56,7 +56,7 @@
   }
   if (!around_.op->zones.empty()) worker_ = std::make_unique<zone_server::Worker>(around_.base);
   const zone_server::Context zoneContext{around_.base, around_.names, around_.log, around_.clock,
-                                         around_.op->merge.firstAnswerWarm};
+                                         around_.op->merge.firstResponseIsWarm};
   for (const op::Zone& zone : around_.op->zones) {
     zones_.emplace_back(zoneContext, zone, number++, *worker_,
                         [this](const membership::Observation& o) { observe(o); });
@@ -66,7 +66,7 @@
     // Nobody else answers the module's wish for the list.
     around_.exchange->onEndpointListRequest([this](dispatch::Dispatcher::EndpointListRequest call) {
       if (call == dispatch::Dispatcher::EndpointListRequest::Unwatch) return;
-      membership_.wanted();
+      membership_.requestFullList();
       settleSoon();
     });
   }
@@ -79,7 +79,7 @@
 }
 
 void Sources::observe(const membership::Observation& o) {
-  membership_.observe(o, around_.clock());
+  membership_.applyRecords(o, around_.clock());
   if (!around_.op->roster && !known_) {
     known_ = true;
     around_.exchange->endpointListKnown();
@@ -101,14 +101,14 @@
 void Sources::look(Watch& watch) {
   resolver_.lookup(
       watch.srv.name, [this, &watch](const dns::Service& service) { took(watch, service); },
-      membership_.confirming());
+      membership_.awaitsConfirmation());
 }
 
 void Sources::took(Watch& watch, const dns::Service& service) {
   const Micros now = around_.clock();
   std::size_t misplaced = 0;
   if (service.kind != dns::Service::Kind::Failed)
-    membership_.observe(observed(service, watch.number, watch.places, misplaced), now);
+    membership_.applyRecords(observed(service, watch.number, watch.places, misplaced), now);
   if (service.kind != watch.said || !watch.asked) {
     log::Line line = around_.log->line(
         service.kind == dns::Service::Kind::Complete ? log::Level::Info : log::Level::Warn, "sources");
@@ -127,24 +127,25 @@
   }
   settle();
   const double chance = static_cast<double>(random_()) / 4294967296.0;
-  const Micros soonest = membership_.confirming() ? around_.op->merge.confirmWithin / kConfirmParts : 0;
+  const Micros soonest =
+      membership_.awaitsConfirmation() ? around_.op->merge.confirmationTimeout / kConfirmParts : 0;
   watch.again.in(watch.schedule.after(service, now, chance, soonest));
 }
 
 void Sources::roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) {
-  membership_.roster(news.kind, withEndpoints(news, endpoints), around_.clock());
+  membership_.applyRoster(news.kind, withEndpoints(news, endpoints), around_.clock());
   settle();
 }
 
 void Sources::settle() {
   const Micros now = around_.clock();
   // Told when it begins and at each doubling.
-  if (membership_.overfull() > 2 * overfull_) {
-    overfull_ = membership_.overfull();
+  if (membership_.rejectedServers() > 2 * overfull_) {
+    overfull_ = membership_.rejectedServers();
     around_.log->warn("sources") << overfull_ << " servers left out code=overfull, "
-                                 << around_.op->merge.serversMost << " are held";
+                                 << around_.op->merge.serversMax << " are held";
   }
-  if (auto news = membership_.settle(now)) {
+  if (auto news = membership_.reconcile(now)) {
     std::size_t lines = 0;
     for (const membership::Decision& d : news->decisions) {
       if (++lines > kLinesMost) continue;
@@ -154,7 +155,7 @@
     if (lines > kLinesMost) around_.log->info("sources") << "and " << lines - kLinesMost << " more servers";
     around_.exchange->post(std::move(news->list));
   }
-  if (const auto due = membership_.due())
+  if (const auto due = membership_.nextReconcile())
     turn_.in(*due - now);
   else
     turn_.cancel();
@@ -171,10 +172,10 @@
     for (std::size_t k = 0; k < e.records.size(); ++k) line << "; " << labels_[k] << ": " << e.records[k];
   }
   const auto& c = resolver_.counts();
-  around_.log->info("sources") << membership_.listed() << " listed, " << membership_.ready() << " ready; "
-                               << c.asked << " questions asked, " << c.answered << " answered, " << c.failed
-                               << " failed, " << c.stale << " served stale, " << c.tcp << " over TCP, "
-                               << c.strangers << " strangers ignored";
+  around_.log->info("sources") << membership_.listedCount() << " listed, " << membership_.readyCount()
+                               << " ready; " << c.asked << " questions asked, " << c.answered << " answered, "
+                               << c.failed << " failed, " << c.stale << " served stale, " << c.tcp
+                               << " over TCP, " << c.strangers << " strangers ignored";
 }
 
 }  // namespace peargrade::sources
--- a/src/sources/view.cpp
+++ b/src/sources/view.cpp
@@ -10,16 +10,16 @@
   o.source = source;
   o.asOf = service.asOf;
   for (const dns::Target& target : service.targets) {
-    if (!target.sure) o.unsure.insert(target.name);
+    if (!target.sure) o.unresolvedTargets.insert(target.name);
     for (const std::string& address : target.addresses) {
-      membership::Sighting s;
-      s.endpoint = address + ":" + std::to_string(target.port);
-      s.name = target.name;
-      s.tier = target.priority;
+      membership::ServiceRecord s;
+      s.address = address + ":" + std::to_string(target.port);
+      s.target = target.name;
+      s.priority = target.priority;
       s.weight = target.weight;
-      s.until = target.until;
+      s.expiresAt = target.until;
       if (places.locate(address, s))
-        o.seen.push_back(std::move(s));
+        o.records.push_back(std::move(s));
       else
         ++misplaced;
     }
--- a/src/zone_server/zone_observation.cpp
+++ b/src/zone_server/zone_observation.cpp
@@ -98,28 +98,28 @@
     }
     if (any) return;
     // A target whose address is kept elsewhere: what it was is not known to have gone.
-    offer.observation.unsure.insert(srv.target);
+    offer.observation.unresolvedTargets.insert(srv.target);
     offer.notes.push_back(srv.target + ": a target without an address in the zone");
   }
 
   void server(const dns_zone::Srv& srv, const Attributes& attributes, const std::string& address) {
-    membership::Sighting s;
-    s.endpoint = address + ":" + std::to_string(srv.port);
-    s.name = srv.target;
-    s.tier = srv.priority;
+    membership::ServiceRecord s;
+    s.address = address + ":" + std::to_string(srv.port);
+    s.target = srv.target;
+    s.priority = srv.priority;
     s.weight = srv.weight;
-    s.until = until;
+    s.expiresAt = until;
     s.state = attributes.state;
     s.startedAt = attributes.startedAt;
     if (!places.locate(address, s) && attributes.zone < 0) {
-      offer.notes.push_back(s.endpoint + ": no place holds it, and no TXT names its zone");
+      offer.notes.push_back(s.address + ": no place holds it, and no TXT names its zone");
       return;
     }
     if (attributes.zone >= 0) s.zone = attributes.zone;
     if (attributes.kind >= 0) s.kind = attributes.kind;
     if (attributes.cell >= 0) s.cell = attributes.cell;
-    offer.endpoints.insert(s.endpoint);
-    offer.observation.seen.push_back(std::move(s));
+    offer.endpoints.insert(s.address);
+    offer.observation.records.push_back(std::move(s));
   }
 };
 
--- a/src/zone_server/zone_source.cpp
+++ b/src/zone_server/zone_source.cpp
@@ -77,10 +77,10 @@
     addTargets(entry.change, entry.request.at * 1000000, changed);
     requests.push_back(std::move(entry.request));
   }
-  for (const membership::Sighting& s : offered().observation.seen) {
-    const auto at = changed.find(s.name);
-    if (there.insert(s.endpoint).second)
-      firstSeen.push_back({s.endpoint, at == changed.end() ? around_.clock() : at->second});
+  for (const membership::ServiceRecord& s : offered().observation.records) {
+    const auto at = changed.find(s.target);
+    if (there.insert(s.address).second)
+      firstSeen.push_back({s.address, at == changed.end() ? around_.clock() : at->second});
   }
   firstSeen_.restore(there, firstSeen);
   around_.log->info("zones") << op_.label << ": serial " << zone.serial() << ", " << zone.records()
--- a/src/zone_server/zone_source_publish.cpp
+++ b/src/zone_server/zone_source_publish.cpp
@@ -13,9 +13,9 @@
                        drained);
   };
   const auto aged = [&](membership::Observation o) {
-    for (membership::Sighting& s : o.seen) {
+    for (membership::ServiceRecord& s : o.records) {
       const bool warm = !published_ && around_.firstAnswerWarm;
-      const Micros since = firstSeen_.of(s.endpoint, warm ? dns_zone::FirstSeen::kLongAgo : now);
+      const Micros since = firstSeen_.of(s.address, warm ? dns_zone::FirstSeen::kLongAgo : now);
       if (s.startedAt == 0) s.startedAt = since;
     }
     return o;
--- a/tests/operator/operator_test.cpp
+++ b/tests/operator/operator_test.cpp
@@ -45,7 +45,7 @@
   EXPECT_EQ(o.srv[0].places[0].net, 0x0A010000u);
   EXPECT_EQ(o.srv[0].places[0].mask, 0xFFFF0000u);
   EXPECT_EQ(o.srv[0].places[1].mask, 0u);
-  EXPECT_EQ(o.merge.stepEvery, 5000000);
+  EXPECT_EQ(o.merge.removalStepInterval, 5000000);
 }
 
 TEST(Operator, WhatTheFileLeavesOutHasTheStandardOfItsType) {
@@ -57,10 +57,10 @@
   EXPECT_EQ(o.dns.cacheBytes, d.cacheBytes);
   EXPECT_EQ(o.dns.records, d.records);
   const membership::Settings m;
-  EXPECT_EQ(o.merge.staleFor, m.staleFor);
-  EXPECT_EQ(o.merge.confirmShare, m.confirmShare);
-  EXPECT_EQ(o.merge.flapTurns, m.flapTurns);
-  EXPECT_EQ(o.merge.serversMost, m.serversMost);
+  EXPECT_EQ(o.merge.staleRetention, m.staleRetention);
+  EXPECT_EQ(o.merge.confirmationShare, m.confirmationShare);
+  EXPECT_EQ(o.merge.flapReturnsMax, m.flapReturnsMax);
+  EXPECT_EQ(o.merge.serversMax, m.serversMax);
 }
 
 struct Mistake {
--- a/tests/sources/sources_test.cpp
+++ b/tests/sources/sources_test.cpp
@@ -30,7 +30,7 @@
 TEST(Places, TheFirstNetThatHoldsTheAddressSaysWhereItStands) {
   const discovery::Names names = testNames();
   const locality::LocalityMap places({place("10.1.0.0", 16, "b", "m2"), place("0.0.0.0", 0, "a")}, names);
-  membership::Sighting s;
+  membership::ServiceRecord s;
   ASSERT_TRUE(places.locate("10.1.2.3", s));
   EXPECT_EQ(s.zone, 1);
   EXPECT_EQ(s.kind, 1);
@@ -52,11 +52,11 @@
       observed(service, 3, locality::LocalityMap({place("10.1.0.0", 16, "a")}, testNames()), misplaced);
   EXPECT_EQ(o.kind, membership::Observation::Kind::Complete);
   EXPECT_EQ(o.source, 3u);
-  ASSERT_EQ(o.seen.size(), 1u);
-  EXPECT_EQ(o.seen[0].endpoint, "10.1.0.1:80");
-  EXPECT_EQ(o.seen[0].tier, 1);
-  EXPECT_EQ(o.seen[0].until, 50);
-  EXPECT_EQ(o.unsure, std::set<std::string>{"b.org"});
+  ASSERT_EQ(o.records.size(), 1u);
+  EXPECT_EQ(o.records[0].address, "10.1.0.1:80");
+  EXPECT_EQ(o.records[0].priority, 1);
+  EXPECT_EQ(o.records[0].expiresAt, 50);
+  EXPECT_EQ(o.unresolvedTargets, std::set<std::string>{"b.org"});
   EXPECT_EQ(misplaced, 1u);
 }
 
@@ -142,11 +142,11 @@
 
 // A name server that lost most of its zone: a second answer is asked for before anything goes.
 TEST_F(Front, AnAnswerThatTakesMuchIsAskedForAgain) {
-  op.merge.confirmWithin = 3600 * kSecond;
+  op.merge.confirmationTimeout = 3600 * kSecond;
   start();
   ASSERT_TRUE(loop.until([&] { return list().size() == 6; }));
   names.names[kName].resize(1);
-  ASSERT_TRUE(loop.until([&] { return sources->membership().confirming(); }));
+  ASSERT_TRUE(loop.until([&] { return sources->membership().awaitsConfirmation(); }));
   EXPECT_EQ(list().size(), 6u);
   const std::size_t before = names.asked("bello-0.example.org", 1);
   ASSERT_TRUE(loop.until([&] { return list().size() == 1; }));
--- a/tests/zone_server/follow_test.cpp
+++ b/tests/zone_server/follow_test.cpp
@@ -56,9 +56,9 @@
     std::filesystem::create_directory(root);
     chmod(root.c_str(), 0700);
     op.roster = false;
-    op.merge.flapTurns = 100;
-    op.merge.staleFor = 5 * kSecond;
-    op.merge.confirmShare = 1;
+    op.merge.flapReturnsMax = 100;
+    op.merge.staleRetention = 5 * kSecond;
+    op.merge.confirmationShare = 1;
     op::Place place;
     place.zone = "a";
     op::Zone z;
--- a/tests/zone_server/zones_test.cpp
+++ b/tests/zone_server/zones_test.cpp
@@ -61,21 +61,21 @@
       z, {"_o._tcp.example.org"}, locality::LocalityMap({everywhere()}, testNames()), testNames(), 2, 7, 99);
   const auto& o = offer.observation;
   EXPECT_EQ(o.source, 2u);
-  ASSERT_EQ(o.seen.size(), 3u);
+  ASSERT_EQ(o.records.size(), 3u);
   const auto find = [&](const std::string& endpoint, int tier) {
-    for (const auto& s : o.seen) {
-      if (s.endpoint == endpoint && s.tier == tier) return s;
+    for (const auto& s : o.records) {
+      if (s.address == endpoint && s.priority == tier) return s;
     }
     ADD_FAILURE() << endpoint;
-    return membership::Sighting{};
+    return membership::ServiceRecord{};
   };
   EXPECT_EQ(find(at(1), 0).state, EndpointState::Draining);
   EXPECT_EQ(find(at(1), 0).zone, 1);
   EXPECT_EQ(find(at(1), 0).cell, 4);
   EXPECT_EQ(find(at(2), 0).startedAt, 1764600000123000);
   EXPECT_EQ(find(at(2), 0).kind, 1);
-  EXPECT_EQ(find(at(2), 5).name, "alias.example.org") << "by its alias";
-  EXPECT_EQ(o.unsure, std::set<std::string>{"far.example.net"})
+  EXPECT_EQ(find(at(2), 5).target, "alias.example.org") << "by its alias";
+  EXPECT_EQ(o.unresolvedTargets, std::set<std::string>{"far.example.net"})
       << "an address that is kept elsewhere has not gone";
   ASSERT_EQ(offer.notes.size(), 3u);
 }
@@ -85,7 +85,7 @@
     const dns_zone::Zone z = read(zoneText(1, servers(1, 2) + "bello-1 TXT " + texts + "\n"));
     const auto o = observeZone(z, {"_o._tcp.example.org"}, locality::LocalityMap({everywhere()}, testNames()),
                                testNames(), 0, 1, 9);
-    EXPECT_EQ(o.observation.seen.at(0).state, EndpointState::Draining);
+    EXPECT_EQ(o.observation.records.at(0).state, EndpointState::Draining);
   }
 }
 
@@ -214,7 +214,7 @@
       chmod((root + folder).c_str(), 0700);
     }
     op.roster = false;
-    op.merge.flapTurns = 100;
+    op.merge.flapReturnsMax = 100;
     op::Zone z;
     z.label = "orders";
     z.origin = "example.org";
