--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -17,158 +17,216 @@
 
 using wire::Fields;
 
-[[noreturn]] void wrong(const std::string& field, const std::string& what) {
-  throw ParseError(ParseErrorCode::InvalidConfiguration, field, what);
+constexpr std::size_t kClassesMax = 32;
+constexpr int kHexBase = 16;
+// Separators of the relay's lines, in which names stand.
+constexpr char kRelaySeparators[] = " ,;+*\r\n";
+
+[[noreturn]] void fail(const std::string& field, const std::string& message) {
+  throw ParseError(ParseErrorCode::InvalidConfiguration, field, message);
 }
 
-net::Address addressOf(const std::string& text, const std::string& field) {
+net::Address parseAddress(const std::string& text, const std::string& field) {
   const auto address = net::Address::parse(text);
-  if (!address) wrong(field, "'" + text + "' is no address of the form 127.0.0.1:3000");
+  if (!address) fail(field, "'" + text + "' is no address of the form 127.0.0.1:3000");
   return *address;
 }
 
-// The variable if it is set, else the field.
-std::string told(const Fields& f, const char* field, const char* variable, const Environment& environment) {
-  if (const auto value = environment(variable); value && !value->empty()) return *value;
-  if (f.optional(field) == nullptr) wrong(field, std::string("is missing, and ") + variable + " is not set");
-  return f.text(field);
-}
-
-std::uint64_t seedOf(const std::string& hex) {
+std::uint64_t parseSeed(const std::string& hex) {
   std::uint64_t seed = 0;
-  const auto end = std::from_chars(hex.data(), hex.data() + hex.size(), seed, 16);
-  if (end.ec != std::errc() || end.ptr != hex.data() + hex.size())
-    wrong("seed", "is no number of up to 16 hex digits");
+  const char* const end = hex.data() + hex.size();
+  const auto parsed = std::from_chars(hex.data(), end, seed, kHexBase);
+  if (parsed.ec != std::errc() || parsed.ptr != end) fail("seed", "is no number of up to 16 hex digits");
   return seed;
 }
 
-std::vector<std::string> namesOf(const wire::Value& list, const std::string& field) {
-  if (!list.IsArray()) wrong(field, "is not an array");
+Limits parseLimits(const Fields& fields) {
+  Limits limits;
+  limits.cores = fields.numberOr("cores", limits.cores);
+  limits.memoryMb = fields.integerOr("memory_mb", 16, 1 << 24, limits.memoryMb);
+  limits.sockets = static_cast<int>(fields.integerOr("sockets", 64, 1 << 20, limits.sockets));
+  return limits;
+}
+
+std::vector<std::string> parseNameList(const wire::Value& list, const std::string& field) {
+  if (!list.IsArray()) fail(field, "is not an array");
   std::vector<std::string> names;
-  std::set<std::string> seen;
+  std::set<std::string> unique;
   for (const wire::Value& item : list.GetArray()) {
-    if (!item.IsString()) wrong(field, "holds something other than names");
-    names.emplace_back(item.GetString(), item.GetStringLength());
-    // They stand in lines of the relay, where these characters part the words.
-    if (names.back().empty() || names.back().find_first_of(" ,;+*\r\n") != std::string::npos)
-      wrong(field, "'" + names.back() + "' cannot stand in a line of the relay");
-    if (!seen.insert(names.back()).second) wrong(field, "'" + names.back() + "' is there twice");
+    if (!item.IsString()) fail(field, "holds something other than names");
+    const std::string name(item.GetString(), item.GetStringLength());
+    if (name.empty() || name.find_first_of(kRelaySeparators) != std::string::npos)
+      fail(field, "'" + name + "' cannot stand in a line of the relay");
+    if (!unique.insert(name).second) fail(field, "'" + name + "' is there twice");
+    names.push_back(name);
   }
   return names;
 }
 
+std::vector<std::string> parseClassNames(const Fields& settings) {
+  rapidjson::Document names(rapidjson::kArrayType);
+  for (const wire::Value& requestClass : settings.array("classes").GetArray()) {
+    const std::string name = Fields(requestClass, "settings.classes").text("name");
+    names.PushBack(wire::Value(name.c_str(), names.GetAllocator()).Move(), names.GetAllocator());
+  }
+  return parseNameList(names, "settings.classes");
+}
+
 discovery::Names parseNames(const Fields& settings) {
   discovery::Names names;
-  names.zones = namesOf(settings.array("zones"), "settings.zones");
-  if (names.zones.empty()) wrong("settings.zones", "is empty");
-  if (const wire::Value* kinds = settings.optional("kinds")) names.kinds = namesOf(*kinds, "settings.kinds");
-  rapidjson::Document classes(rapidjson::kArrayType);
-  for (const wire::Value& c : settings.array("classes").GetArray()) {
-    const std::string name = Fields(c, "settings.classes").text("name");
-    classes.PushBack(wire::Value(name.c_str(), classes.GetAllocator()).Move(), classes.GetAllocator());
-  }
-  names.classes = namesOf(classes, "settings.classes");
-  if (names.classes.size() > 32) wrong("settings.classes", "holds more than 32 classes");
+  names.zones = parseNameList(settings.array("zones"), "settings.zones");
+  if (names.zones.empty()) fail("settings.zones", "is empty");
+  if (const wire::Value* const kinds = settings.optional("kinds"))
+    names.kinds = parseNameList(*kinds, "settings.kinds");
+  names.classes = parseClassNames(settings);
+  if (names.classes.size() > kClassesMax) fail("settings.classes", "holds more than 32 classes");
   return names;
 }
 
-// Whether it is of use is asked only where settings are taken over: elsewhere the field means nothing.
-void readVersion(const Fields& f, Config& c) {
-  const wire::Value* version = f.optional("version");
-  if (version == nullptr) return;
-  c.versionWrong = !version->IsInt64() || version->GetInt64() < 0;
-  if (!c.versionWrong) c.version = version->GetInt64();
+std::string textOf(const wire::Value& value) {
+  rapidjson::StringBuffer bytes;
+  rapidjson::Writer<rapidjson::StringBuffer> writer(bytes);
+  value.Accept(writer);
+  return {bytes.GetString(), bytes.GetSize()};
 }
 
-std::uint64_t contentOf(const Fields& f, const Config& c) {
-  const wire::Value* discovery = f.optional("discovery");
-  const std::string told = discovery != nullptr && discovery->IsString() ? discovery->GetString() : "";
-  const std::string text = told + '\n' + c.relay.text() + '\n' + c.settingsText;
-  return XXH64(text.data(), text.size(), 0);
-}
+/// Errors of several fields, a line each.
+class ErrorList {
+ public:
+  /// Runs `read`, and keeps the error if it throws one.
+  template <class Read>
+  void collect(const Read& read) {
+    try {
+      read();
+    } catch (const ParseError& error) {
+      if (!text_.empty()) text_ += '\n';
+      text_ += error.what();
+    }
+  }
+  void throwIfAny() const {
+    if (!text_.empty()) throw ParseError(ParseErrorCode::InvalidConfiguration, "", text_);
+  }
 
-Limits parseLimits(const Fields& f) {
-  Limits limits;
-  limits.cores = f.numberOr("cores", limits.cores);
-  limits.memoryMb = f.integerOr("memory_mb", 16, 1 << 24, limits.memoryMb);
-  limits.sockets = static_cast<int>(f.integerOr("sockets", 64, 1 << 20, limits.sockets));
-  return limits;
-}
+ private:
+  std::string text_;
+};
+
+/// Reads one configuration field by field; an invalid one does not hide the next.
+class Parser {
+ public:
+  Parser(const Fields& fields, const Environment& environment, Newer newer, ErrorList& errors)
+      : fields_(fields), environment_(environment), newer_(newer), errors_(errors) {}
+
+  Config parse() {
+    errors_.collect([this] { config_.name = environmentOr("name", "NODE_NAME"); });
+    errors_.collect(
+        [this] { config_.listen = parseAddress(environmentOr("listen", "NODE_LISTEN"), "listen"); });
+    errors_.collect([this] { config_.discovery = parseAddress(discoveryText(), "discovery"); });
+    errors_.collect([this] { config_.relay = parseAddress(relayText(), "relay.address"); });
+    errors_.collect([this] { checkNotOwn(config_.relay, "relay.address"); });
+    errors_.collect([this] { checkNotOwn(config_.discovery, "discovery"); });
+    errors_.collect([this] {
+      if (fields_.optional("seed") != nullptr) config_.seed = parseSeed(fields_.text("seed"));
+    });
+    errors_.collect([this] {
+      if (const wire::Value* const limits = fields_.optional("limits"))
+        config_.limits = parseLimits(Fields(*limits, "limits"));
+    });
+    errors_.collect([this] { readSettings(); });
+    errors_.collect([this] { readNamesAndCachedList(); });
+    readVersion();
+    config_.content = contentHash();
+    return config_;
+  }
+
+ private:
+  // A variable that is set and not empty takes precedence over the field.
+  std::string environmentOr(const char* field, const char* variable) const {
+    if (const auto value = environment_(variable); value && !value->empty()) return *value;
+    if (fields_.optional(field) == nullptr)
+      fail(field, std::string("is missing, and ") + variable + " is not set");
+    return fields_.text(field);
+  }
+
+  std::string discoveryText() const {
+    const bool fromFile = newer_ == Newer::File && fields_.optional("discovery") != nullptr;
+    return fromFile ? fields_.text("discovery") : environmentOr("discovery", "NODE_DISCOVERY");
+  }
+
+  std::string relayText() const { return Fields(fields_.required("relay"), "relay").text("address"); }
+
+  // Port 0: the address itself is invalid, which has an error of its own.
+  void checkNotOwn(const net::Address& peer, const char* field) const {
+    if (peer.port != 0 && peer.text() == config_.listen.text())
+      fail(field, "is the supervisor's own address");
+  }
+
+  void readSettings() {
+    const wire::Value& settings = fields_.required("settings");
+    config_.settings = wire::parseSettings(settings, "settings");
+    config_.settingsText = textOf(settings);
+    if (config_.settings.slices == 0) fail("settings.extra.shards", "is 0: this protocol needs slices");
+  }
+
+  void readNamesAndCachedList() {
+    config_.names = parseNames(Fields(fields_.required("settings"), "settings"));
+    if (const wire::Value* const known = fields_.optional("known")) {
+      config_.known = discovery::parseCatalog(*known, config_.names, "known");
+      config_.knownEndpoints = discovery::parseSocketAddresses(*known, "known");
+    }
+    config_.known.kind = EndpointListKind::Cached;
+  }
+
+  // An invalid version is an error only where a reload applies settings; elsewhere the field has no meaning.
+  void readVersion() {
+    const wire::Value* const version = fields_.optional("version");
+    if (version == nullptr) return;
+    config_.versionWrong = !version->IsInt64() || version->GetInt64() < 0;
+    if (!config_.versionWrong) config_.version = version->GetInt64();
+  }
+
+  std::uint64_t contentHash() const {
+    const wire::Value* const discovery = fields_.optional("discovery");
+    const bool hasText = discovery != nullptr && discovery->IsString();
+    const std::string discoveryText = hasText ? discovery->GetString() : "";
+    const std::string content = discoveryText + '\n' + config_.relay.text() + '\n' + config_.settingsText;
+    return XXH64(content.data(), content.size(), 0);
+  }
+
+  const Fields& fields_;
+  const Environment& environment_;
+  const Newer newer_;
+  ErrorList& errors_;
+  Config config_;
+};
 
 }  // namespace
 
 std::optional<std::string> processEnvironment(const char* name) {
-  const char* value = std::getenv(name);
-  return value == nullptr ? std::nullopt : std::optional<std::string>(value);
+  const char* const value = std::getenv(name);
+  if (value == nullptr) return std::nullopt;
+  return value;
 }
 
 Config parse(const std::string& text, const Environment& environment, Newer newer) {
-  std::string problems;
-  const auto attempt = [&](const auto& part) {
-    try {
-      part();
-    } catch (const std::runtime_error& e) {  // each names its field
-      problems += (problems.empty() ? "" : "\n") + std::string(e.what());
-    }
-  };
-  Config c;
-  rapidjson::Document doc;
-  attempt([&] {
-    wire::parseJson(doc, text, "configuration");
-    const Fields f(doc, "configuration");
-    attempt([&] { c.name = told(f, "name", "NODE_NAME", environment); });
-    attempt([&] { c.listen = addressOf(told(f, "listen", "NODE_LISTEN", environment), "listen"); });
-    attempt([&] {
-      const bool file = newer == Newer::File && f.optional("discovery") != nullptr;
-      c.discovery = addressOf(
-          file ? f.text("discovery") : told(f, "discovery", "NODE_DISCOVERY", environment), "discovery");
-    });
-    attempt(
-        [&] { c.relay = addressOf(Fields(f.required("relay"), "relay").text("address"), "relay.address"); });
-    attempt([&] {
-      if (c.relay.port != 0 && c.relay.text() == c.listen.text())
-        wrong("relay.address", "is the supervisor's own address");
-    });
-    attempt([&] {
-      if (c.discovery.port != 0 && c.discovery.text() == c.listen.text())
-        wrong("discovery", "is the supervisor's own address");
-    });
-    attempt([&] { c.seed = f.optional("seed") == nullptr ? 0 : seedOf(f.text("seed")); });
-    attempt([&] {
-      if (const wire::Value* limits = f.optional("limits")) c.limits = parseLimits(Fields(*limits, "limits"));
-    });
-    attempt([&] {
-      c.settings = wire::parseSettings(f.required("settings"), "settings");
-      rapidjson::StringBuffer bytes;
-      rapidjson::Writer<rapidjson::StringBuffer> writer(bytes);
-      f.required("settings").Accept(writer);
-      c.settingsText.assign(bytes.GetString(), bytes.GetSize());
-      if (c.settings.slices == 0) wrong("settings.extra.shards", "is 0: this protocol needs slices");
-    });
-    attempt([&] {
-      c.names = parseNames(Fields(f.required("settings"), "settings"));
-      if (const wire::Value* known = f.optional("known")) {
-        c.known = discovery::parseCatalog(*known, c.names, "known");
-        c.knownEndpoints = discovery::parseSocketAddresses(*known, "known");
-      }
-      c.known.kind = EndpointListKind::Cached;
-    });
-    readVersion(f, c);
-    c.content = contentOf(f, c);
+  Config config;
+  ErrorList errors;
+  errors.collect([&] {
+    rapidjson::Document document;
+    wire::parseJson(document, text, "configuration");
+    const Fields fields(document, "configuration");
+    config = Parser(fields, environment, newer, errors).parse();
   });
-  if (!problems.empty()) throw ParseError(ParseErrorCode::InvalidConfiguration, "", problems);
-  return c;
+  errors.throwIfAny();
+  return config;
 }
 
 Config load(const std::string& path, const Environment& environment, Newer newer) {
   std::ifstream file(path, std::ios::binary);
-  if (!file)
-    throw ParseError(ParseErrorCode::InvalidConfiguration, "NODE_CONFIG", "cannot read '" + path + "'");
+  if (!file) fail("NODE_CONFIG", "cannot read '" + path + "'");
   std::ostringstream text;
   text << file.rdbuf();
-  if (file.bad() || text.str().empty())
-    throw ParseError(ParseErrorCode::InvalidConfiguration, "NODE_CONFIG",
-                     "'" + path + "' cannot be read or is empty");
+  if (file.bad() || text.str().empty()) fail("NODE_CONFIG", "'" + path + "' cannot be read or is empty");
   return parse(text.str(), environment, newer);
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,11 +1,11 @@
-// What a supervisor is told at its start: the environment and the file that NODE_CONFIG names.
+/// Configuration of a supervisor: environment variables and the JSON file that NODE_CONFIG names.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <optional>
-#include <stdexcept>
 #include <string>
+#include <vector>
 
 #include "discovery/catalog.h"
 #include "errors/parse_error.h"
@@ -14,43 +14,58 @@
 
 namespace peargrade::config {
 
+/// Resources of the machine that the supervisor may use: `limits`.
 struct Limits {
-  bool operator!=(const Limits& o) const {
-    return cores != o.cores || memoryMb != o.memoryMb || sockets != o.sockets;
+  bool operator!=(const Limits& other) const {
+    return cores != other.cores || memoryMb != other.memoryMb || sockets != other.sockets;
   }
+
   double cores = 1;
-  std::int64_t memoryMb = 192;
+  std::int64_t memoryMb = 192;  // MiB
   int sockets = 1024;
 };
 
+/// A configuration whose fields are valid each by itself.
 struct Config {
   std::string name;
-  net::Address listen, discovery, relay;
+  net::Address listen;
+  net::Address discovery;
+  net::Address relay;
   std::uint64_t seed = 0;
   Limits limits;
   Settings settings;
-  std::string settingsText;             // as the file has them
-  std::optional<std::int64_t> version;  // of the file's content, by whoever writes it; nothing: not told
-  bool versionWrong = false;            // `version` is there and is no whole number from 0 on
-  std::uint64_t content = 0;            // hash of what a running program can take over, as the file has it
+  /// `settings` as the file has it.
+  std::string settingsText;
+  /// `version`, set by whoever writes the file; nothing if the file has none or an invalid one.
+  std::optional<std::int64_t> version;
+  /// `version` is there and is not a whole number from 0 on. Matters only where a reload applies settings.
+  bool versionWrong = false;
+  /// Hash of the fields that a reload may apply, as the file has them.
+  std::uint64_t content = 0;
+  /// Zones, kinds and classes of `settings`.
   discovery::Names names;
-  EndpointListUpdate known;                 // as cached; empty when there is none
-  std::vector<std::string> knownEndpoints;  // of its entries, in their order
+  /// `known`: the endpoint list as last cached; empty if there is none.
+  EndpointListUpdate known;
+  /// Socket addresses of its endpoints, in their order; "" where one is missing.
+  std::vector<std::string> knownEndpoints;
 };
 
-// Looks a variable up; nothing when it is not set.
+/// Looks up an environment variable; nothing if it is not set.
 using Environment = std::function<std::optional<std::string>(const char*)>;
+/// The variables of this process.
 std::optional<std::string> processEnvironment(const char* name);
 
-// At the start a variable that is set goes before the same field of the file. Where the file has been
-// replaced since, the variable is older: the file's `discovery` goes before it then.
+/// Which address of discovery counts where both the file and the environment have one. At the start it is the
+/// environment's; a file that was replaced since is newer than the environment.
 enum class Newer { Environment, File };
-// The file's text and the environment together.
+
+/// Reads the text of a file together with the environment. Throws ParseError with a line for each invalid
+/// field.
 Config parse(const std::string& text, const Environment& environment, Newer newer = Newer::Environment);
-// Reads the file first. Throws ParseError with a line for each field that is wrong.
+/// Reads the file at `path`. Throws ParseError also if it cannot be read or is empty.
 Config load(const std::string& path, const Environment& environment, Newer newer = Newer::Environment);
 
-// The fields of `now` that a running program does not take over from `then`, by name.
+/// Names of the fields in which `now` differs from `then` and which only a restart applies.
 std::vector<std::string> needRestart(const Config& then, const Config& now);
 
 }  // namespace peargrade::config
--- a/src/config/takeover.cpp
+++ b/src/config/takeover.cpp
@@ -3,23 +3,28 @@
 #include <iomanip>
 #include <limits>
 #include <sstream>
-#include <vector>
 
 namespace peargrade::config {
 namespace {
 
-constexpr double kNoMost = std::numeric_limits<double>::infinity();
-constexpr double kAboveZero = std::numeric_limits<double>::min();  // divisors: 0 itself is refused
-constexpr int kContentDigits = 16;
+constexpr double kUnbounded = std::numeric_limits<double>::infinity();
+constexpr double kAboveZero = std::numeric_limits<double>::min();  // of divisors: 0 itself is rejected
+constexpr int kHashDigits = 16;
 
 struct Range {
   const char* field;
-  double value, least, most;
+  double value;
+  double min;
+  double max;
 };
 
-class Lines {
+/// Messages of one rejection, a line each.
+class MessageList {
  public:
-  void add(const std::string& line) { text_ += (text_.empty() ? "" : "\n") + line; }
+  void add(const std::string& message) {
+    if (!text_.empty()) text_ += '\n';
+    text_ += message;
+  }
   std::optional<Objection> as(Refusal refusal) const {
     if (text_.empty()) return std::nullopt;
     return Objection{refusal, text_};
@@ -29,67 +34,72 @@
   std::string text_;
 };
 
-std::string rangeOf(const Range& r) {
+std::string outOfRangeMessage(const Range& range) {
   std::ostringstream text;
-  text << r.field << ": " << r.value << " is not ";
-  if (r.most < kNoMost)
-    text << "from " << r.least << " to " << r.most;
+  text << range.field << ": " << range.value << " is not ";
+  if (range.max < kUnbounded)
+    text << "from " << range.min << " to " << range.max;
   else
-    text << (r.least > 0 ? "above 0" : "0 or more");
+    text << (range.min > 0 ? "above 0" : "0 or more");
   return text.str();
 }
 
-void checkClasses(const Config& config, Lines& lines) {
+void checkClasses(const Config& config, MessageList& messages) {
   for (std::size_t k = 0; k < config.settings.classes.size(); ++k) {
-    const RequestClass& c = config.settings.classes[k];
-    const std::string of = "' of " + config.names.classes.at(k);
-    if (c.priorityWeight < 0) lines.add("settings.classes: 'worth" + of + " is below 0");
-    if (c.deadline > 0 && c.deadline < c.latencyObjective)
-      lines.add("settings.classes: 'hardLimitUs" + of + " is below its 'aimUs'");
+    const RequestClass& requestClass = config.settings.classes[k];
+    const std::string ofClass = "' of " + config.names.classes.at(k);
+    if (requestClass.priorityWeight < 0) messages.add("settings.classes: 'worth" + ofClass + " is below 0");
+    if (requestClass.deadline > 0 && requestClass.deadline < requestClass.latencyObjective)
+      messages.add("settings.classes: 'hardLimitUs" + ofClass + " is below its 'aimUs'");
   }
 }
 
 std::optional<Objection> checkRanges(const Config& config) {
-  const Settings& s = config.settings;
-  Lines lines;
-  checkClasses(config, lines);
-  for (const Range& r : {Range{"settings.extra.egressPerS", s.routesPerSecond, kAboveZero, kNoMost},
-                         Range{"settings.extra.pendingMax", s.pendingRoutesMax, kAboveZero, kNoMost},
-                         Range{"settings.extra.perMessage", s.messageOverheadRoutes, 0, kNoMost},
-                         Range{"settings.extra.tryAims", s.attemptTimeoutObjectives, 0, kNoMost},
-                         Range{"settings.rules.startCapacity", s.initialCapacity, 0, 1},
-                         Range{"settings.rules.overloadFactor", s.overloadFactor, kAboveZero, kNoMost}})
-    if (r.value < r.least || r.value > r.most) lines.add(rangeOf(r));
-  return lines.as(Refusal::OutOfRange);
+  const Settings& settings = config.settings;
+  const Range ranges[] = {
+      {"settings.extra.egressPerS", settings.routesPerSecond, kAboveZero, kUnbounded},
+      {"settings.extra.pendingMax", settings.pendingRoutesMax, kAboveZero, kUnbounded},
+      {"settings.extra.perMessage", settings.messageOverheadRoutes, 0, kUnbounded},
+      {"settings.extra.tryAims", settings.attemptTimeoutObjectives, 0, kUnbounded},
+      {"settings.rules.startCapacity", settings.initialCapacity, 0, 1},
+      {"settings.rules.overloadFactor", settings.overloadFactor, kAboveZero, kUnbounded},
+  };
+  MessageList messages;
+  checkClasses(config, messages);
+  for (const Range& range : ranges) {
+    if (range.value < range.min || range.value > range.max) messages.add(outOfRangeMessage(range));
+  }
+  return messages.as(Refusal::OutOfRange);
 }
 
-// What slices, tables and connections are built on.
+// Slices, tables and connections are built on these fields.
 std::optional<Objection> checkStructure(const Config& inForce, const Config& next) {
-  const Settings &a = inForce.settings, &b = next.settings;
-  Lines lines;
-  const auto stays = [&](const char* field, bool same) {
-    if (!same) lines.add(std::string(field) + ": stays as it was at the start, a change needs a restart");
+  const Settings& current = inForce.settings;
+  const Settings& proposed = next.settings;
+  MessageList messages;
+  const auto requireSame = [&messages](const char* field, bool same) {
+    if (!same) messages.add(std::string(field) + ": stays as it was at the start, a change needs a restart");
   };
-  stays("settings.classes", inForce.names.classes == next.names.classes);
-  stays("settings.zones", inForce.names.zones == next.names.zones);
-  stays("settings.kinds", inForce.names.kinds == next.names.kinds);
-  stays("settings.extra.shards", a.slices == b.slices);
-  stays("settings.extra.proxyCount", a.proxies == b.proxies);
-  stays("settings.extra.oneOwner", a.sliceOwnership == b.sliceOwnership);
-  stays("settings.extra.throttleBy", a.admissionUnit == b.admissionUnit);
-  return lines.as(Refusal::Structure);
+  requireSame("settings.classes", inForce.names.classes == next.names.classes);
+  requireSame("settings.zones", inForce.names.zones == next.names.zones);
+  requireSame("settings.kinds", inForce.names.kinds == next.names.kinds);
+  requireSame("settings.extra.shards", current.slices == proposed.slices);
+  requireSame("settings.extra.proxyCount", current.proxies == proposed.proxies);
+  requireSame("settings.extra.oneOwner", current.sliceOwnership == proposed.sliceOwnership);
+  requireSame("settings.extra.throttleBy", current.admissionUnit == proposed.admissionUnit);
+  return messages.as(Refusal::Structure);
 }
 
 std::optional<Objection> checkVersion(const Config& inForce, const Config& next) {
   if (!inForce.version) return std::nullopt;
-  const std::string held = std::to_string(*inForce.version);
+  const std::string current = std::to_string(*inForce.version);
   if (!next.version)
-    return Objection{Refusal::WrongVersion, "version: is missing, and " + held + " is in force"};
-  const std::string told = "version: " + std::to_string(*next.version);
+    return Objection{Refusal::WrongVersion, "version: is missing, and " + current + " is in force"};
+  const std::string proposed = "version: " + std::to_string(*next.version);
   if (*next.version < *inForce.version)
-    return Objection{Refusal::StaleVersion, told + " is older than " + held + ", which is in force"};
+    return Objection{Refusal::StaleVersion, proposed + " is older than " + current + ", which is in force"};
   if (*next.version == *inForce.version && next.content != inForce.content)
-    return Objection{Refusal::SameVersion, told + " is in force with other content"};
+    return Objection{Refusal::SameVersion, proposed + " is in force with other content"};
   return std::nullopt;
 }
 
@@ -127,7 +137,7 @@
 std::string versionOf(const Config& config) {
   std::ostringstream text;
   text << (config.version ? "version " + std::to_string(*config.version) : "no version") << " (content "
-       << std::hex << std::setw(kContentDigits) << std::setfill('0') << config.content << ')';
+       << std::hex << std::setw(kHashDigits) << std::setfill('0') << config.content << ')';
   return text.str();
 }
 
--- a/src/config/takeover.h
+++ b/src/config/takeover.h
@@ -1,4 +1,4 @@
-// What a running supervisor may take over of a new configuration, and why it refuses one.
+/// Checks of a configuration that a running supervisor is to apply by a reload.
 #pragma once
 
 #include <optional>
@@ -8,31 +8,32 @@
 
 namespace peargrade::config {
 
-// Why a new configuration is refused. docs/oncall.md lists the codes.
+/// Why a configuration is rejected. docs/oncall.md lists the codes.
 enum class Refusal {
-  Unreadable,    // missing, half written, or a field is wrong (ParseError)
+  Unreadable,    // missing, half written, or with an invalid field (ParseError)
   OutOfRange,    // a value of `settings` that no site can have
-  WrongVersion,  // `version` is missing where one is in force, or is no whole number from 0 on
+  WrongVersion,  // `version` is missing where one is in force, or is not a whole number from 0 on
   StaleVersion,  // lower than the one in force
   SameVersion,   // the one in force, with other content
-  Structure,     // a field that stays as it was at the start
+  Structure,     // a field that cannot change while the program runs
 };
-// The code that stands in the log line.
+/// The code that stands in the log line: "out-of-range".
 const char* code(Refusal refusal);
 
 struct Objection {
   Refusal refusal = Refusal::Unreadable;
-  std::string what;  // "FIELD: what is wrong with it", several parted by a line break
+  /// "FIELD: what is wrong with it", a line for each field.
+  std::string what;
 };
 
-// What is wrong with a configuration by itself, beyond what `parse` checks: ranges of `settings`, the form of
-// `version`. Nothing: it is sound.
+/// What is wrong with a configuration by itself beyond what `parse` checks: ranges of `settings`, the form of
+/// `version`. Nothing if it is valid.
 std::optional<Objection> unsound(const Config& config);
 
-// Why `next` may not take the place of `inForce` in a running program. Nothing: it may.
+/// Why `next` cannot replace `inForce` in a running program. Nothing if it can.
 std::optional<Objection> objection(const Config& inForce, const Config& next);
 
-// "version 7 (content 00c0ffee00c0ffee)", or "no version (content ...)", for the log.
+/// "version 7 (content 00c0ffee00c0ffee)", or "no version (content ...)", for the log.
 std::string versionOf(const Config& config);
 
 }  // namespace peargrade::config
