--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -114,8 +114,9 @@
 /// Reads one configuration field by field; an invalid one does not hide the next.
 class Parser {
  public:
-  Parser(const Fields& fields, const Environment& environment, Newer newer, ErrorList& errors)
-      : fields_(fields), environment_(environment), newer_(newer), errors_(errors) {}
+  Parser(const Fields& fields, const Environment& environment, DiscoveryPrecedence precedence,
+         ErrorList& errors)
+      : fields_(fields), environment_(environment), precedence_(precedence), errors_(errors) {}
 
   Config parse() {
     errors_.collect([this] { config_.name = environmentOr("name", "NODE_NAME"); });
@@ -135,7 +136,7 @@
     errors_.collect([this] { readSettings(); });
     errors_.collect([this] { readNamesAndCachedList(); });
     readVersion();
-    config_.content = contentHash();
+    config_.contentHash = contentHash();
     return config_;
   }
 
@@ -149,7 +150,8 @@
   }
 
   std::string discoveryText() const {
-    const bool fromFile = newer_ == Newer::File && fields_.optional("discovery") != nullptr;
+    const bool fromFile =
+        precedence_ == DiscoveryPrecedence::File && fields_.optional("discovery") != nullptr;
     return fromFile ? fields_.text("discovery") : environmentOr("discovery", "NODE_DISCOVERY");
   }
 
@@ -171,18 +173,18 @@
   void readNamesAndCachedList() {
     config_.names = parseNames(Fields(fields_.required("settings"), "settings"));
     if (const wire::Value* const known = fields_.optional("known")) {
-      config_.known = discovery::parseCatalog(*known, config_.names, "known");
-      config_.knownEndpoints = discovery::parseSocketAddresses(*known, "known");
+      config_.cachedList = discovery::parseCatalog(*known, config_.names, "known");
+      config_.cachedAddresses = discovery::parseSocketAddresses(*known, "known");
     }
-    config_.known.kind = EndpointListKind::Cached;
+    config_.cachedList.kind = EndpointListKind::Cached;
   }
 
   // An invalid version is an error only where a reload applies settings; elsewhere the field has no meaning.
   void readVersion() {
     const wire::Value* const version = fields_.optional("version");
     if (version == nullptr) return;
-    config_.versionWrong = !version->IsInt64() || version->GetInt64() < 0;
-    if (!config_.versionWrong) config_.version = version->GetInt64();
+    config_.versionIsInvalid = !version->IsInt64() || version->GetInt64() < 0;
+    if (!config_.versionIsInvalid) config_.version = version->GetInt64();
   }
 
   std::uint64_t contentHash() const {
@@ -195,7 +197,7 @@
 
   const Fields& fields_;
   const Environment& environment_;
-  const Newer newer_;
+  const DiscoveryPrecedence precedence_;
   ErrorList& errors_;
   Config config_;
 };
@@ -208,34 +210,34 @@
   return value;
 }
 
-Config parse(const std::string& text, const Environment& environment, Newer newer) {
+Config parse(const std::string& text, const Environment& environment, DiscoveryPrecedence precedence) {
   Config config;
   ErrorList errors;
   errors.collect([&] {
     rapidjson::Document document;
     wire::parseJson(document, text, "configuration");
     const Fields fields(document, "configuration");
-    config = Parser(fields, environment, newer, errors).parse();
+    config = Parser(fields, environment, precedence, errors).parse();
   });
   errors.throwIfAny();
   return config;
 }
 
-Config load(const std::string& path, const Environment& environment, Newer newer) {
+Config load(const std::string& path, const Environment& environment, DiscoveryPrecedence precedence) {
   std::ifstream file(path, std::ios::binary);
   if (!file) fail("NODE_CONFIG", "cannot read '" + path + "'");
   std::ostringstream text;
   text << file.rdbuf();
   if (file.bad() || text.str().empty()) fail("NODE_CONFIG", "'" + path + "' cannot be read or is empty");
-  return parse(text.str(), environment, newer);
+  return parse(text.str(), environment, precedence);
 }
 
-std::vector<std::string> needRestart(const Config& then, const Config& now) {
+std::vector<std::string> fieldsNeedingRestart(const Config& current, const Config& next) {
   std::vector<std::string> fields;
-  if (then.name != now.name) fields.emplace_back("name");
-  if (then.listen.text() != now.listen.text()) fields.emplace_back("listen");
-  if (then.limits != now.limits) fields.emplace_back("limits");
-  if (then.settingsText != now.settingsText) fields.emplace_back("settings");
+  if (current.name != next.name) fields.emplace_back("name");
+  if (current.listen.text() != next.listen.text()) fields.emplace_back("listen");
+  if (current.limits != next.limits) fields.emplace_back("limits");
+  if (current.settingsText != next.settingsText) fields.emplace_back("settings");
   return fields;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -39,15 +39,15 @@
   /// `version`, set by whoever writes the file; nothing if the file has none or an invalid one.
   std::optional<std::int64_t> version;
   /// `version` is there and is not a whole number from 0 on. Matters only where a reload applies settings.
-  bool versionWrong = false;
+  bool versionIsInvalid = false;
   /// Hash of the fields that a reload may apply, as the file has them.
-  std::uint64_t content = 0;
+  std::uint64_t contentHash = 0;
   /// Zones, kinds and classes of `settings`.
   discovery::Names names;
   /// `known`: the endpoint list as last cached; empty if there is none.
-  EndpointListUpdate known;
+  EndpointListUpdate cachedList;
   /// Socket addresses of its endpoints, in their order; "" where one is missing.
-  std::vector<std::string> knownEndpoints;
+  std::vector<std::string> cachedAddresses;
 };
 
 /// Looks up an environment variable; nothing if it is not set.
@@ -57,15 +57,17 @@
 
 /// Which address of discovery counts where both the file and the environment have one. At the start it is the
 /// environment's; a file that was replaced since is newer than the environment.
-enum class Newer { Environment, File };
+enum class DiscoveryPrecedence { Environment, File };
 
 /// Reads the text of a file together with the environment. Throws ParseError with a line for each invalid
 /// field.
-Config parse(const std::string& text, const Environment& environment, Newer newer = Newer::Environment);
+Config parse(const std::string& text, const Environment& environment,
+             DiscoveryPrecedence precedence = DiscoveryPrecedence::Environment);
 /// Reads the file at `path`. Throws ParseError also if it cannot be read or is empty.
-Config load(const std::string& path, const Environment& environment, Newer newer = Newer::Environment);
+Config load(const std::string& path, const Environment& environment,
+            DiscoveryPrecedence precedence = DiscoveryPrecedence::Environment);
 
-/// Names of the fields in which `now` differs from `then` and which only a restart applies.
-std::vector<std::string> needRestart(const Config& then, const Config& now);
+/// Names of the fields in which `next` differs from `current` and which only a restart applies.
+std::vector<std::string> fieldsNeedingRestart(const Config& current, const Config& next);
 
 }  // namespace peargrade::config
--- a/src/config/takeover.cpp
+++ b/src/config/reload_check.cpp
@@ -1,4 +1,4 @@
-#include "config/takeover.h"
+#include "config/reload_check.h"
 
 #include <iomanip>
 #include <limits>
@@ -25,9 +25,9 @@
     if (!text_.empty()) text_ += '\n';
     text_ += message;
   }
-  std::optional<Objection> as(Refusal refusal) const {
+  std::optional<Rejection> as(RejectionCode code) const {
     if (text_.empty()) return std::nullopt;
-    return Objection{refusal, text_};
+    return Rejection{code, text_};
   }
 
  private:
@@ -54,7 +54,7 @@
   }
 }
 
-std::optional<Objection> checkRanges(const Config& config) {
+std::optional<Rejection> checkRanges(const Config& config) {
   const Settings& settings = config.settings;
   const Range ranges[] = {
       {"settings.extra.egressPerS", settings.routesPerSecond, kAboveZero, kUnbounded},
@@ -69,11 +69,11 @@
   for (const Range& range : ranges) {
     if (range.value < range.min || range.value > range.max) messages.add(outOfRangeMessage(range));
   }
-  return messages.as(Refusal::OutOfRange);
+  return messages.as(RejectionCode::OutOfRange);
 }
 
 // Slices, tables and connections are built on these fields.
-std::optional<Objection> checkStructure(const Config& inForce, const Config& next) {
+std::optional<Rejection> checkStructure(const Config& inForce, const Config& next) {
   const Settings& current = inForce.settings;
   const Settings& proposed = next.settings;
   MessageList messages;
@@ -87,57 +87,59 @@
   requireSame("settings.extra.proxyCount", current.proxies == proposed.proxies);
   requireSame("settings.extra.oneOwner", current.sliceOwnership == proposed.sliceOwnership);
   requireSame("settings.extra.throttleBy", current.admissionUnit == proposed.admissionUnit);
-  return messages.as(Refusal::Structure);
+  return messages.as(RejectionCode::Structure);
 }
 
-std::optional<Objection> checkVersion(const Config& inForce, const Config& next) {
+std::optional<Rejection> checkVersion(const Config& inForce, const Config& next) {
   if (!inForce.version) return std::nullopt;
   const std::string current = std::to_string(*inForce.version);
   if (!next.version)
-    return Objection{Refusal::WrongVersion, "version: is missing, and " + current + " is in force"};
+    return Rejection{RejectionCode::WrongVersion, "version: is missing, and " + current + " is in force"};
   const std::string proposed = "version: " + std::to_string(*next.version);
   if (*next.version < *inForce.version)
-    return Objection{Refusal::StaleVersion, proposed + " is older than " + current + ", which is in force"};
-  if (*next.version == *inForce.version && next.content != inForce.content)
-    return Objection{Refusal::SameVersion, proposed + " is in force with other content"};
+    return Rejection{RejectionCode::StaleVersion,
+                     proposed + " is older than " + current + ", which is in force"};
+  if (*next.version == *inForce.version && next.contentHash != inForce.contentHash)
+    return Rejection{RejectionCode::SameVersion, proposed + " is in force with other content"};
   return std::nullopt;
 }
 
 }  // namespace
 
-const char* code(Refusal refusal) {
-  switch (refusal) {
-    case Refusal::Unreadable:
+const char* codeOf(RejectionCode code) {
+  switch (code) {
+    case RejectionCode::Unreadable:
       return "unreadable";
-    case Refusal::OutOfRange:
+    case RejectionCode::OutOfRange:
       return "out-of-range";
-    case Refusal::WrongVersion:
+    case RejectionCode::WrongVersion:
       return "wrong-version";
-    case Refusal::StaleVersion:
+    case RejectionCode::StaleVersion:
       return "stale-version";
-    case Refusal::SameVersion:
+    case RejectionCode::SameVersion:
       return "same-version";
-    case Refusal::Structure:
+    case RejectionCode::Structure:
       return "structure";
   }
   return "unknown";
 }
 
-std::optional<Objection> unsound(const Config& config) {
-  if (config.versionWrong) return Objection{Refusal::WrongVersion, "version: is no whole number from 0 on"};
+std::optional<Rejection> validate(const Config& config) {
+  if (config.versionIsInvalid)
+    return Rejection{RejectionCode::WrongVersion, "version: is no whole number from 0 on"};
   return checkRanges(config);
 }
 
-std::optional<Objection> objection(const Config& inForce, const Config& next) {
-  if (auto found = unsound(next)) return found;
+std::optional<Rejection> checkReload(const Config& inForce, const Config& next) {
+  if (auto found = validate(next)) return found;
   if (auto found = checkVersion(inForce, next)) return found;
   return checkStructure(inForce, next);
 }
 
-std::string versionOf(const Config& config) {
+std::string describeVersion(const Config& config) {
   std::ostringstream text;
   text << (config.version ? "version " + std::to_string(*config.version) : "no version") << " (content "
-       << std::hex << std::setw(kHashDigits) << std::setfill('0') << config.content << ')';
+       << std::hex << std::setw(kHashDigits) << std::setfill('0') << config.contentHash << ')';
   return text.str();
 }
 
--- a/src/config/takeover.h
+++ b/src/config/reload_check.h
@@ -9,7 +9,7 @@
 namespace peargrade::config {
 
 /// Why a configuration is rejected. docs/oncall.md lists the codes.
-enum class Refusal {
+enum class RejectionCode {
   Unreadable,    // missing, half written, or with an invalid field (ParseError)
   OutOfRange,    // a value of `settings` that no site can have
   WrongVersion,  // `version` is missing where one is in force, or is not a whole number from 0 on
@@ -18,22 +18,22 @@
   Structure,     // a field that cannot change while the program runs
 };
 /// The code that stands in the log line: "out-of-range".
-const char* code(Refusal refusal);
+const char* codeOf(RejectionCode code);
 
-struct Objection {
-  Refusal refusal = Refusal::Unreadable;
+struct Rejection {
+  RejectionCode code = RejectionCode::Unreadable;
   /// "FIELD: what is wrong with it", a line for each field.
-  std::string what;
+  std::string message;
 };
 
 /// What is wrong with a configuration by itself beyond what `parse` checks: ranges of `settings`, the form of
 /// `version`. Nothing if it is valid.
-std::optional<Objection> unsound(const Config& config);
+std::optional<Rejection> validate(const Config& config);
 
 /// Why `next` cannot replace `inForce` in a running program. Nothing if it can.
-std::optional<Objection> objection(const Config& inForce, const Config& next);
+std::optional<Rejection> checkReload(const Config& inForce, const Config& next);
 
 /// "version 7 (content 00c0ffee00c0ffee)", or "no version (content ...)", for the log.
-std::string versionOf(const Config& config);
+std::string describeVersion(const Config& config);
 
 }  // namespace peargrade::config
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "config/takeover.h"
+#include "config/reload_check.h"
 #include "log/log.h"
 #include "operator/operator.h"
 #include "sources/source_registry.h"
@@ -26,8 +26,8 @@
        << c.discovery.text() << "\nrelay      " << c.relay.text() << "\nlimits     " << c.limits.cores
        << " cores, " << c.limits.memoryMb << " MB, " << c.limits.sockets << " descriptors\nsettings   "
        << c.names.classes.size() << " classes, " << c.settings.slices << " slices, " << c.names.zones.size()
-       << " zones, " << c.settings.supervisors << " supervisors\nknown      revision " << c.known.version
-       << ", " << c.known.endpoints.size() << " servers\n";
+       << " zones, " << c.settings.supervisors << " supervisors\nknown      revision " << c.cachedList.version
+       << ", " << c.cachedList.endpoints.size() << " servers\n";
   return text.str();
 }
 
@@ -158,8 +158,8 @@
     std::optional<peargrade::op::Operator> op;
     if (!operatorPath.empty()) op = peargrade::op::load(operatorPath, &config.names);
     if (op && op->settingsReload) {
-      if (const auto objection = peargrade::config::unsound(config))
-        throw peargrade::ParseError(peargrade::ParseErrorCode::InvalidConfiguration, "", objection->what);
+      if (const auto objection = peargrade::config::validate(config))
+        throw peargrade::ParseError(peargrade::ParseErrorCode::InvalidConfiguration, "", objection->message);
     }
     if (check->parsed()) {
       std::cout << tableOf(config);
@@ -175,7 +175,7 @@
       return peargrade::sources::load().explain(explainAsked, *op, config.names, log);
     }
     const auto loadAgain = [&] {
-      return peargrade::config::load(path, environment, peargrade::config::Newer::File);
+      return peargrade::config::load(path, environment, peargrade::config::DiscoveryPrecedence::File);
     };
     peargrade::supervisor::MakeSources makeSources;
     if (op && op->sources()) makeSources = peargrade::sources::load().open;
--- a/src/supervisor/node.cpp
+++ b/src/supervisor/node.cpp
@@ -79,11 +79,11 @@
       readyAtLast_(base, [this] { dispatcher_.readinessTimedOut(); }),
       wake_(base, [this] { woken_ = true; }) {
   if (op == nullptr || op->roster)
-    discovery_.emplace(base, config_.discovery, config_.names, config_.known.version, dispatcher_, log,
+    discovery_.emplace(base, config_.discovery, config_.names, config_.cachedList.version, dispatcher_, log,
                        listLimits(config_));
   if (makeSources) {
-    sources_ = makeSources({base, op, &config_.names, &config_.known, &config_.knownEndpoints, &dispatcher_,
-                            &log_, [this] { return clock_.now(); }});
+    sources_ = makeSources({base, op, &config_.names, &config_.cachedList, &config_.cachedAddresses,
+                            &dispatcher_, &log_, [this] { return clock_.now(); }});
     if (discovery_)
       discovery_->setListener(
           [this](const EndpointListUpdate& news, const std::vector<std::string>& endpoints) {
@@ -91,9 +91,9 @@
           });
   }
   log_.info("supervisor") << config_.name << " serves at " << config_.listen.text() << ", "
-                          << config_.known.endpoints.size() << " servers known";
+                          << config_.cachedList.endpoints.size() << " servers known";
   readyAtLast_.in(kReadyAtLast);
-  dispatcher_.post(config_.known);
+  dispatcher_.post(config_.cachedList);
 }
 
 void Node::turn() {
--- a/src/supervisor/reload.cpp
+++ b/src/supervisor/reload.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "config/takeover.h"
+#include "config/reload_check.h"
 
 namespace peargrade::supervisor {
 namespace {
@@ -23,7 +23,7 @@
       log_(log),
       takeOver_(takeOver),
       again_(base, [this] { attempt(); }) {
-  if (settingsToo()) log_.info("supervisor") << "configuration in force: " << config::versionOf(now_);
+  if (settingsToo()) log_.info("supervisor") << "configuration in force: " << config::describeVersion(now_);
 }
 
 void Reload::ask() {
@@ -44,15 +44,15 @@
 
 bool Reload::refused(const config::Config& next) {
   if (!settingsToo()) return false;
-  const auto objection = config::objection(now_, next);
+  const auto objection = config::checkReload(now_, next);
   if (!objection) return false;
-  log_.error("supervisor") << "new configuration refused (" << config::code(objection->refusal) << "), "
-                           << config::versionOf(now_) << " holds: " << oneLine(objection->what);
+  log_.error("supervisor") << "new configuration refused (" << config::codeOf(objection->code) << "), "
+                           << config::describeVersion(now_) << " holds: " << oneLine(objection->message);
   return true;
 }
 
 void Reload::takeOver(const config::Config& next) {
-  for (const std::string& field : config::needRestart(now_, next)) {
+  for (const std::string& field : config::fieldsNeedingRestart(now_, next)) {
     if (settingsToo() && field == "settings") continue;
     log_.warn("supervisor") << "new configuration: '" << field << "' is taken over by a restart only";
   }
@@ -61,20 +61,21 @@
   now_.discovery = next.discovery;
   now_.relay = next.relay;
   if (settingsToo()) {
-    log_.info("supervisor") << "configuration in force: " << config::versionOf(next) << ", after "
-                            << config::versionOf(now_);
+    log_.info("supervisor") << "configuration in force: " << config::describeVersion(next) << ", after "
+                            << config::describeVersion(now_);
     now_.settings = next.settings;
     now_.settingsText = next.settingsText;
     now_.version = next.version;
-    now_.content = next.content;
+    now_.contentHash = next.contentHash;
   }
   apply_(now_);
 }
 
 void Reload::leaveOut(const std::string& what) {
   if (wait_ == kFirstWait && settingsToo())
-    log_.error("supervisor") << "new configuration refused (" << config::code(config::Refusal::Unreadable)
-                             << "), " << config::versionOf(now_) << " holds: " << what;
+    log_.error("supervisor") << "new configuration refused ("
+                             << config::codeOf(config::RejectionCode::Unreadable) << "), "
+                             << config::describeVersion(now_) << " holds: " << what;
   else if (wait_ == kFirstWait)
     log_.error("supervisor") << "new configuration left out, the old one holds: " << what;
   if (wait_ > kLongestWait) return log_.warn("supervisor") << "new configuration given up", void();
