--- a/src/supervisor/config_reload.cpp
+++ b/src/supervisor/config_reload.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <utility>
 
-#include "config/takeover.h"
+#include "config/reload_check.h"
 #include "errors/parse_error.h"
 
 namespace peargrade::supervisor {
@@ -26,7 +26,7 @@
       scope_(scope),
       retryTimer_(base, [this] { attempt(); }) {
   if (includesSettings())
-    log_.info("supervisor") << "configuration in force: " << config::versionOf(inForce_);
+    log_.info("supervisor") << "configuration in force: " << config::describeVersion(inForce_);
 }
 
 void ConfigReload::request() {
@@ -68,17 +68,17 @@
     log_.error("supervisor") << "new configuration unreadable, keeping the one in force: " << problem;
     return;
   }
-  log_.error("supervisor") << "new configuration rejected (" << config::code(config::Refusal::Unreadable)
-                           << "), keeping " << config::versionOf(inForce_) << ": " << problem;
+  log_.error("supervisor") << "new configuration rejected (" << config::codeOf(config::RejectionCode::Unreadable)
+                           << "), keeping " << config::describeVersion(inForce_) << ": " << problem;
 }
 
 bool ConfigReload::rejects(const config::Config& next) {
   if (!includesSettings()) return false;
-  const auto objection = config::objection(inForce_, next);
+  const auto objection = config::checkReload(inForce_, next);
   if (!objection) return false;
-  log_.error("supervisor") << "new configuration rejected (" << config::code(objection->refusal)
-                           << "), keeping " << config::versionOf(inForce_) << ": "
-                           << oneLine(objection->what);
+  log_.error("supervisor") << "new configuration rejected (" << config::codeOf(objection->code)
+                           << "), keeping " << config::describeVersion(inForce_) << ": "
+                           << oneLine(objection->message);
   return true;
 }
 
@@ -89,18 +89,18 @@
   inForce_.discovery = next.discovery;
   inForce_.relay = next.relay;
   if (includesSettings()) {
-    log_.info("supervisor") << "configuration in force: " << config::versionOf(next) << ", after "
-                            << config::versionOf(inForce_);
+    log_.info("supervisor") << "configuration in force: " << config::describeVersion(next) << ", after "
+                            << config::describeVersion(inForce_);
     inForce_.settings = next.settings;
     inForce_.settingsText = next.settingsText;
     inForce_.version = next.version;
-    inForce_.content = next.content;
+    inForce_.contentHash = next.contentHash;
   }
   callbacks_.apply(inForce_);
 }
 
 void ConfigReload::warnOfRestartFields(const config::Config& next) {
-  for (const std::string& field : config::needRestart(inForce_, next)) {
+  for (const std::string& field : config::fieldsNeedingRestart(inForce_, next)) {
     if (includesSettings() && field == "settings") continue;
     log_.warn("supervisor") << "new configuration: '" << field << "' takes effect at a restart only";
   }
--- a/src/supervisor/supervisor_instance.cpp
+++ b/src/supervisor/supervisor_instance.cpp
@@ -39,8 +39,8 @@
 
 discovery::Discovery::Limits discoveryLimits(const config::Config& config) {
   discovery::Discovery::Limits limits;
-  limits.body = MemoryBudget(config.limits.memoryMb).endpointList;
-  limits.line = std::min(limits.line, limits.body);
+  limits.responseBytesMax = MemoryBudget(config.limits.memoryMb).endpointList;
+  limits.objectBytesMax = std::min(limits.objectBytesMax, limits.responseBytesMax);
   return limits;
 }
 
@@ -70,19 +70,19 @@
       readinessTimer_(base, [this] { dispatcher_.readinessTimedOut(); }),
       turnTimer_(base, [this] { turnTimerFired_ = true; }) {
   if (op == nullptr || op->roster)
-    discovery_.emplace(base, config_.discovery, config_.names, config_.known.version, dispatcher_, log,
+    discovery_.emplace(base, config_.discovery, config_.names, config_.cachedList.version, dispatcher_, log,
                        discoveryLimits(config_));
   if (makeSources) openSources(base, op, makeSources);
   log_.info("supervisor") << config_.name << " serves at " << config_.listen.text() << ", "
-                          << config_.known.endpoints.size() << " servers known";
+                          << config_.cachedList.endpoints.size() << " servers known";
   readinessTimer_.in(kReadinessTimeout);
-  dispatcher_.post(config_.known);
+  dispatcher_.post(config_.cachedList);
 }
 
 // With sources the list of discovery goes to them, and they post the merged one.
 void SupervisorInstance::openSources(event_base* base, const op::Operator* op,
                                      const MakeSources& makeSources) {
-  sources_ = makeSources({base, op, &config_.names, &config_.known, &config_.knownEndpoints, &dispatcher_,
+  sources_ = makeSources({base, op, &config_.names, &config_.cachedList, &config_.cachedAddresses, &dispatcher_,
                           &log_, [this] { return clock_.now(); }});
   if (!discovery_) return;
   discovery_->setListener(
