--- a/bench/turn_bench.cpp
+++ b/bench/turn_bench.cpp
@@ -1,5 +1,5 @@
-// What a turn of the decision module costs at fleet size, and what it holds: a start, calm sweeps with
-// reports, a tenth of the servers draining at once, and the same with all servers pressed.
+// Time of a turn of the decision engine at fleet size, and its memory: a start, steady sweeps with load
+// reports, a tenth of the servers draining at once, and all servers overloaded.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -7,67 +7,102 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "support/scene.h"
+#include "support/simulated_supervisor.h"
 
 namespace peargrade {
 namespace {
 
-struct Cost {
-  double worst = 0, sum = 0;
-  int turns = 0;
-  void of(Scene& s, const std::vector<Event>& events) {
-    const auto from = std::chrono::steady_clock::now();
-    s.engine.handle(s.now, events);
-    const double ms =
-        std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - from).count();
-    worst = std::max(worst, ms);
-    sum += ms;
-    ++turns;
+constexpr Micros kStep = 250 * kMillisecond;
+
+// Times of the turns of one phase, in milliseconds.
+class TurnTimes {
+ public:
+  void measure(SimulatedSupervisor& supervisor, const std::vector<Event>& events) {
+    const auto start = std::chrono::steady_clock::now();
+    supervisor.engine.handle(supervisor.now, events);
+    const std::chrono::duration<double, std::milli> time = std::chrono::steady_clock::now() - start;
+    worst_ = std::max(worst_, time.count());
+    sum_ += time.count();
+    ++turns_;
   }
-  void print(const char* what) const {
-    std::printf("  %-28s mean %8.2f ms  worst %8.2f ms\n", what, sum / turns, worst);
+  void print(const char* phase) const {
+    std::printf("  %-28s mean %8.2f ms  worst %8.2f ms\n", phase, sum_ / turns_, worst_);
   }
+
+ private:
+  double worst_ = 0;
+  double sum_ = 0;
+  int turns_ = 0;
+};
+
+struct FleetSize {
+  int servers;
+  int proxies;
+  int slices;
+  int assignedSlices;
 };
 
-void play(int servers, int proxies, int slices, int held) {
-  Settings settings = plainSettings();
-  settings.slices = slices;
-  settings.proxies = proxies;
+Settings settingsOf(const FleetSize& size) {
+  Settings settings = testSettings();
+  settings.slices = size.slices;
+  settings.proxies = size.proxies;
   settings.messageOverheadRoutes = 16;
-  settings.routesPerSecond = slices * static_cast<double>(proxies) / 6;
+  settings.routesPerSecond = size.slices * static_cast<double>(size.proxies) / 6;
   settings.pendingRoutesMax = 1.5 * settings.routesPerSecond;
-  Scene s(settings, servers);
-  std::printf("%d servers, %d proxies, %d of %d slices\n", servers, proxies, held, slices);
-  std::vector<Event> ev = s.startEvents(held);
-  for (int p = 3; p < proxies; ++p) ev.push_back(ProxyConnected{p, p % 2, 5, true});
-  Cost start, calm, drain, pressed;
-  start.of(s, ev);
-  const auto run = [&](Cost& cost, Micros span) {
-    for (const Micros end = s.now + span; s.now < end;) {
-      s.now += 250 * kMs;
-      std::vector<Event> turn{TimerFired{"sweep"}};
-      if (s.now / (250 * kMs) % 2 == 0) s.report(turn);
-      for (int p = 0; p < proxies; ++p) turn.push_back(UpdateAcknowledged{p, 1, kMs});
-      cost.of(s, turn);
-    }
-  };
-  run(calm, 15 * kSecond);
-  EndpointListUpdate news{EndpointListKind::Delta, 0, {}};
-  for (int k = 0; k < servers / 10; ++k) {
-    news.endpoints.push_back(s.list[Scene::name(k)]);
-    news.endpoints.back().state = EndpointState::Draining;
+  return settings;
+}
+
+TurnTimes measureStart(SimulatedSupervisor& supervisor, const FleetSize& size) {
+  std::vector<Event> events = supervisor.startEvents(size.assignedSlices);
+  for (ProxyId proxy = 3; proxy < size.proxies; ++proxy)
+    events.push_back(ProxyConnected{proxy, proxy % 2, 5, true});
+  TurnTimes times;
+  times.measure(supervisor, events);
+  return times;
+}
+
+void measureSweeps(SimulatedSupervisor& supervisor, const FleetSize& size, Micros duration,
+                   TurnTimes& times) {
+  const Micros end = supervisor.now + duration;
+  while (supervisor.now < end) {
+    supervisor.now += kStep;
+    std::vector<Event> events{TimerFired{"sweep"}};
+    if (supervisor.now / kStep % 2 == 0) supervisor.appendLoadReports(events);
+    for (ProxyId proxy = 0; proxy < size.proxies; ++proxy)
+      events.push_back(UpdateAcknowledged{proxy, 1, kMillisecond});
+    times.measure(supervisor, events);
+  }
+}
+
+EndpointListUpdate drainOfATenth(const SimulatedSupervisor& supervisor, const FleetSize& size) {
+  EndpointListUpdate update{EndpointListKind::Delta, 0, {}};
+  for (int server = 0; server < size.servers / 10; ++server) {
+    update.endpoints.push_back(supervisor.endpoints.at(SimulatedSupervisor::serverName(server)));
+    update.endpoints.back().state = EndpointState::Draining;
   }
-  drain.of(s, {news});
-  run(drain, 5 * kSecond);
-  for (int k = 0; k < servers; ++k) s.latency[Scene::name(k)] = 1500 * kMs;
-  run(pressed, 15 * kSecond);
+  return update;
+}
+
+void measureFleet(const FleetSize& size) {
+  std::printf("%d servers, %d proxies, %d of %d slices\n", size.servers, size.proxies, size.assignedSlices,
+              size.slices);
+  SimulatedSupervisor supervisor(settingsOf(size), size.servers);
+  const TurnTimes start = measureStart(supervisor, size);
+  TurnTimes steady;
+  measureSweeps(supervisor, size, 15 * kSecond, steady);
+  TurnTimes drain;
+  drain.measure(supervisor, {drainOfATenth(supervisor, size)});
+  measureSweeps(supervisor, size, 5 * kSecond, drain);
+  TurnTimes overload;
+  supervisor.setLatencies(size.servers, 1500 * kMillisecond);
+  measureSweeps(supervisor, size, 15 * kSecond, overload);
   start.print("start");
-  calm.print("calm");
+  steady.print("steady");
   drain.print("a tenth drains");
-  pressed.print("all pressed");
-  rusage used{};
-  getrusage(RUSAGE_SELF, &used);
-  std::printf("  resident peak %ld MB (the scene's own tables among it)\n", used.ru_maxrss / 1024);
+  overload.print("all overloaded");
+  rusage usage{};
+  getrusage(RUSAGE_SELF, &usage);
+  std::printf("  resident peak %ld MB, with the simulated fleet\n", usage.ru_maxrss / 1024);
 }
 
 }  // namespace
@@ -75,8 +110,8 @@
 
 int main(int argc, char** argv) {
   if (argc != 5) {
-    std::fprintf(stderr, "usage: %s SERVERS PROXIES SLICES HELD\n", argv[0]);
+    std::fprintf(stderr, "usage: %s SERVERS PROXIES SLICES ASSIGNED_SLICES\n", argv[0]);
     return 2;
   }
-  peargrade::play(std::atoi(argv[1]), std::atoi(argv[2]), std::atoi(argv[3]), std::atoi(argv[4]));
+  peargrade::measureFleet({std::atoi(argv[1]), std::atoi(argv[2]), std::atoi(argv[3]), std::atoi(argv[4])});
 }
--- a/tests/decision/recorded_stream.cpp
+++ b/tests/decision/recorded_stream.cpp
@@ -7,11 +7,11 @@
 #include <utility>
 #include <variant>
 
+#include "support/decision_settings.h"
+
 namespace peargrade::test {
 namespace {
 
-constexpr Micros kMillisecond = 1000;
-constexpr Micros kSecond = 1000 * kMillisecond;
 constexpr Micros kStart = 1000 * kSecond;
 constexpr TableId kUnknownTable = 9999;
 
@@ -645,30 +645,16 @@
 }
 
 Settings sharedSlices() {
-  Settings settings;
+  Settings settings = deploymentSettings();
   settings.classes = {requestClass(800 * kMillisecond, 1, Idempotency::Idempotent),
                       requestClass(1600 * kMillisecond, 6, Idempotency::WithIdempotencyKey),
                       requestClass(1200 * kMillisecond, 3, Idempotency::NonIdempotent)};
   settings.supervisors = 3;
   settings.slices = 96;
   settings.proxies = 60;
-  settings.attemptTimeoutObjectives = 0.8;
   settings.routesPerSecond = 9000;
-  settings.messageOverheadRoutes = 8;
   settings.pendingRoutesMax = 6000;
-  settings.messagesPerProxyMax = 20;
-  settings.messageWindow = 10 * kSecond;
-  settings.pushDelay = 300 * kMillisecond;
-  settings.pushDelayMax = 800 * kMillisecond;
   settings.deliveryReported = true;
-  settings.reportInterval = 500 * kMillisecond;
-  settings.unroutableMax = 5 * kSecond;
-  settings.drainGrace = 2 * kSecond;
-  settings.pollDeadline = 10 * kSecond;
-  settings.initialCapacity = 0.15;
-  settings.slowStartWindow = 16 * kSecond;
-  settings.overloadFactor = 2.5;
-  settings.overloadDurationMax = 2 * kSecond;
   return settings;
 }
 
--- /dev/null
+++ b/tests/decision/update_delivery_test.cpp
@@ -0,0 +1,251 @@
+// Update delivery: what the engine does while the outcome of an update is open, and when it was not
+// delivered.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <set>
+#include <string>
+#include <variant>
+
+#include "support/simulated_supervisor.h"
+
+namespace peargrade {
+namespace {
+
+// The routes and ejections of an update as sorted text, such as "3 s_b removed" and "s_b ejected".
+std::vector<std::string> describe(const std::vector<Action>& actions) {
+  std::vector<std::string> entries;
+  for (const Action& action : actions) {
+    if (const auto* route = std::get_if<SetRoute>(&action)) {
+      const char* change = route->weight > 0 ? " set" : " removed";
+      entries.push_back(std::to_string(route->table) + " " + route->server + change);
+    }
+    if (const auto* ejection = std::get_if<SetEjection>(&action)) {
+      const char* change = ejection->state == EjectionState::Ejected ? " ejected" : " readmitted";
+      entries.push_back(ejection->server + change);
+    }
+  }
+  std::sort(entries.begin(), entries.end());
+  return entries;
+}
+
+// The id of the update that these actions form; -1: there is none.
+int updateIdOf(const std::vector<Action>& actions) {
+  for (const Action& action : actions) {
+    if (const auto* request = std::get_if<AcknowledgementRequest>(&action)) return request->updateId;
+  }
+  return -1;
+}
+
+class UpdateDeliveryTest : public testing::Test {
+ protected:
+  static Settings deliveryReportedSettings() {
+    Settings settings = testSettings();
+    settings.deliveryReported = true;
+    return settings;
+  }
+
+  std::vector<Action> handleLater(const std::vector<Event>& events) {
+    supervisor.now += 20 * kMillisecond;
+    return supervisor.handle(events);
+  }
+  // Starts with 8 slices: the first update is accepted and acknowledged.
+  void start() {
+    supervisor.acknowledgesUpdates = false;
+    const int updateId = updateIdOf(supervisor.handle(supervisor.startEvents(8)));
+    std::vector<Event> events{UpdateDelivery{updateId, DeliveryOutcome::Accepted, 1}};
+    appendAcknowledgements(events, updateId);
+    handleLater(events);
+    supervisor.now += 2 * kSecond;
+  }
+  static void appendAcknowledgements(std::vector<Event>& events, int updateId) {
+    for (ProxyId proxy = 0; proxy < 3; ++proxy)
+      events.push_back(UpdateAcknowledged{proxy, updateId, kMillisecond});
+  }
+  std::vector<Action> reportOutcome(const std::vector<Action>& update, DeliveryOutcome outcome,
+                                    int messages = 1) {
+    return handleLater({UpdateDelivery{updateIdOf(update), outcome, messages}});
+  }
+  // Proxies go back to these routes: no update since then has arrived.
+  void loseUpdatesSince(const std::map<TableId, SimulatedSupervisor::RouteTable>& routes) {
+    supervisor.routes = routes;
+    supervisor.ejectedServers.clear();
+    supervisor.routesToEjectedServers.clear();
+  }
+
+  Settings settings = deliveryReportedSettings();
+  SimulatedSupervisor supervisor{settings};
+};
+
+TEST_F(UpdateDeliveryTest, NextUpdateWaitsForTheOutcomeOfTheLast) {
+  start();
+  const std::vector<Action> first = supervisor.updateEndpoint("s_b", EndpointState::Draining);
+  ASSERT_FALSE(describe(first).empty());
+  EXPECT_TRUE(describe(supervisor.updateEndpoint("s_c", EndpointState::Draining)).empty());
+  EXPECT_TRUE(describe(handleLater({TimerFired{"sweep"}})).empty());
+  const int otherId = updateIdOf(first) - 1;
+  EXPECT_TRUE(describe(handleLater({UpdateDelivery{otherId, DeliveryOutcome::Accepted, 1}})).empty())
+      << "outcome of another update";
+  EXPECT_FALSE(describe(reportOutcome(first, DeliveryOutcome::Accepted)).empty())
+      << "at once, not at the next sweep";
+  EXPECT_EQ(supervisor.primaryCount("s_c"), 0);
+}
+
+TEST_F(UpdateDeliveryTest, UndeliveredRoutesGoAgainTogetherWithNewerOnes) {
+  start();
+  const auto routesBefore = supervisor.routes;
+  const std::vector<Action> first = supervisor.updateEndpoint("s_b", EndpointState::Draining);
+  supervisor.updateEndpoint("s_c", EndpointState::Draining);
+  loseUpdatesSince(routesBefore);
+  const std::vector<std::string> next = describe(reportOutcome(first, DeliveryOutcome::Incomplete));
+  for (TableId slice = 0; slice < 8; ++slice) {
+    const auto& table = supervisor.routes[slice];
+    EXPECT_FALSE(table.empty()) << "slice " << slice;
+    EXPECT_EQ(table.count("s_b") + table.count("s_c"), 0U) << "slice " << slice;
+  }
+  std::set<std::string> changed;
+  for (const std::string& entry : next) changed.insert(entry.substr(0, entry.rfind(' ')));
+  EXPECT_EQ(changed.size(), next.size()) << "a route is set twice in one update";
+}
+
+TEST_F(UpdateDeliveryTest, UndeliveredRoutesOfAReassignedSliceAreNotRepeated) {
+  start();
+  const std::vector<Action> first = supervisor.updateEndpoint("s_b", EndpointState::Draining);
+  handleLater({SliceAssignment{1, false}, SliceAssignment{1, true}, StoredRoute{1, "s_a", 1}});
+  for (const std::string& entry : describe(reportOutcome(first, DeliveryOutcome::Incomplete)))
+    EXPECT_TRUE(entry.compare(0, 2, "1 ") != 0 || entry.find("s_b") == std::string::npos) << entry;
+}
+
+// An undelivered update may be in the channel all the same: its repetition needs room beside it. The update
+// is a drain, because others wait for their turn.
+TEST_F(UpdateDeliveryTest, UpdateOfUnknownOutcomeCountsInTheChannelBesideItsRepetition) {
+  settings.pendingRoutesMax = 400;
+  supervisor = SimulatedSupervisor(settings);
+  start();
+  std::vector<Action> update = supervisor.updateEndpoint("s_b", EndpointState::Draining);
+  double pendingRoutes = 0;
+  int messages = 0;
+  for (int step = 0; step < 200; ++step) {
+    const auto entries = std::count_if(update.begin(), update.end(), [](const Action& action) {
+      return std::holds_alternative<SetRoute>(action) || std::holds_alternative<SetEjection>(action) ||
+             std::holds_alternative<SetAdmission>(action);
+    });
+    if (entries > 0) {
+      ++messages;
+      pendingRoutes += 3 * (settings.messageOverheadRoutes + 1 + static_cast<double>(entries));
+    }
+    EXPECT_LE(pendingRoutes, settings.pendingRoutesMax) << "step " << step;
+    update = reportOutcome(update, DeliveryOutcome::Incomplete);  // this channel never transmits anything
+  }
+  EXPECT_GE(messages, 2);
+}
+
+TEST_F(UpdateDeliveryTest, UpdateThatMadeNoMessageTakesNoRoomInTheChannel) {
+  start();
+  std::vector<Action> update = supervisor.updateEndpoint("s_b", EndpointState::Draining);
+  for (int attempt = 0; attempt < 100; ++attempt) {
+    update = reportOutcome(update, DeliveryOutcome::Incomplete, 0);
+    ASSERT_GE(describe(update).size(), 4U) << "attempt " << attempt;
+  }
+}
+
+// The removal of the old owner must be in the store and acknowledged by all, also by proxies that connected
+// meanwhile.
+TEST_F(UpdateDeliveryTest, SingleOwnerSliceGetsNoNewOwnerWhileTheRemovalOfTheOldOneIsUndelivered) {
+  settings.sliceOwnership = SliceOwnership::SingleOwner;
+  settings.inFlightWriteMax = 20 * kMillisecond;
+  supervisor = SimulatedSupervisor(settings);
+  start();
+  std::vector<Action> update = supervisor.updateEndpoint("s_b", EndpointState::Draining);
+  const std::vector<std::string> removals = describe(update);
+  ASSERT_GE(removals.size(), 2U);
+  handleLater(
+      {ProxyConnected{0, 0, 5, false}, ProxyConnected{1, 1, 5, false}, ProxyConnected{2, 0, 5, false}});
+  supervisor.now += 2 * kSecond;
+  update = reportOutcome(update, DeliveryOutcome::Incomplete);
+  EXPECT_EQ(describe(update), removals);
+  const int updateId = updateIdOf(update);
+  EXPECT_TRUE(
+      describe(handleLater({UpdateDelivery{updateId, DeliveryOutcome::Accepted, 1}, TimerFired{"sweep"}}))
+          .empty());
+  std::vector<Event> acknowledgements;
+  appendAcknowledgements(acknowledgements, updateId);
+  handleLater(acknowledgements);
+  supervisor.now += kSecond;
+  EXPECT_EQ(describe(handleLater({TimerFired{"sweep"}})).size(), removals.size()) << "the new owners";
+}
+
+// ---- An update as large as the channel ----
+
+class LargeUpdateDelivery : public UpdateDeliveryTest {
+ protected:
+  static constexpr int kServers = 60;
+  static constexpr int kProxies = 3;
+  static constexpr TableId kSlices = 120;
+
+  LargeUpdateDelivery() {
+    settings.slices = kSlices;
+    settings.pendingRoutesMax = kProxies * 180;
+    settings.routesPerSecond = settings.pendingRoutesMax / 1.5;
+    supervisor = SimulatedSupervisor(settings, kServers);
+    supervisor.reportsLoad = false;
+    supervisor.acknowledgesUpdates = false;
+  }
+
+  bool isUpdateOpen() const { return updateIdOf(update) >= 0; }
+  // The open update is accepted, and proxies acknowledge it half a second later.
+  void acceptUpdate() {
+    const int updateId = updateIdOf(update);
+    update = reportOutcome(update, DeliveryOutcome::Accepted);
+    supervisor.now += 500 * kMillisecond;
+    std::vector<Event> events;
+    appendAcknowledgements(events, updateId);
+    events.push_back(TimerFired{"sweep"});
+    const std::vector<Action> next = supervisor.handle(events);
+    if (!isUpdateOpen()) update = next;
+  }
+  // Half of the servers drain at once.
+  EndpointListUpdate releaseOfHalfTheFleet() {
+    EndpointListUpdate release{EndpointListKind::Delta, 0, {}};
+    for (int index = 0; index < kServers / 2; ++index) {
+      Endpoint& endpoint = supervisor.endpoints[SimulatedSupervisor::serverName(index)];
+      endpoint.state = EndpointState::Draining;
+      release.endpoints.push_back(endpoint);
+    }
+    return release;
+  }
+
+  // The last update, open until its outcome is reported.
+  std::vector<Action> update;
+};
+
+// If it had to go again as a whole it would find no room until acknowledgements come, and the drains would be
+// late.
+TEST_F(LargeUpdateDelivery, UndeliveredUpdateGoesAgainInPartsAndDrainsStayWithinTheirGrace) {
+  update = supervisor.handle(supervisor.startEvents(kSlices));
+  for (int step = 0; step < 40 && isUpdateOpen(); ++step) acceptUpdate();
+  const EndpointListUpdate release = releaseOfHalfTheFleet();
+  supervisor.now += 2 * kSecond;
+  const Micros drainStart = supervisor.now;
+  const auto routesBefore = supervisor.routes;
+  update = supervisor.handle({release});
+  ASSERT_GE(static_cast<double>(describe(update).size()), 0.5 * settings.pendingRoutesMax / kProxies);
+  loseUpdatesSince(routesBefore);
+  update = reportOutcome(update, DeliveryOutcome::Incomplete);
+  for (int step = 0; step < 40 && supervisor.now - drainStart < settings.drainGrace; ++step) {
+    if (isUpdateOpen()) {
+      acceptUpdate();
+      continue;
+    }
+    supervisor.now += 100 * kMillisecond;
+    update = supervisor.handle({TimerFired{"sweep"}});
+  }
+  for (TableId slice = 0; slice < kSlices; ++slice) {
+    EXPECT_FALSE(supervisor.routes[slice].empty()) << "slice " << slice;
+    for (const auto& [server, weight] : supervisor.routes[slice])
+      EXPECT_EQ(supervisor.endpoints[server].state, EndpointState::Ready) << "slice " << slice;
+  }
+}
+
+}  // namespace
+}  // namespace peargrade
--- a/tests/rules/channel_test.cpp
+++ b/tests/rules/channel_test.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 
 #include "state.h"
-#include "support/scene.h"
+#include "support/simulated_supervisor.h"
 
 namespace peargrade {
 namespace {
@@ -38,8 +38,8 @@
     settings.pendingRoutesMax = 1.5 * settings.routesPerSecond;
     settings.messageOverheadRoutes = 16;
     settings.messagesPerProxyMax = 30;
-    s = std::make_unique<Scene>(settings, 20, c.seed);
-    s->confirming = s->reporting = false;
+    s = std::make_unique<SimulatedSupervisor>(settings, 20, c.seed);
+    s->acknowledgesUpdates = s->reportsLoad = false;
   }
 
   // What the relay does with a reply: a message of a head and its lines to each proxy that is there by then.
@@ -53,7 +53,7 @@
     waiting += m.lines * static_cast<double>(m.to.size());
     put(std::move(m));
     most = std::max(most, waiting / settings.pendingRoutesMax);
-    EXPECT_LE(waiting, settings.pendingRoutesMax) << "at " << (s->now - start) / kMs << " ms";
+    EXPECT_LE(waiting, settings.pendingRoutesMax) << "at " << (s->now - start) / kMillisecond << " ms";
   }
   virtual void put(Message m) { channel.push_back(std::move(m)); }
   // Of each reply: answered; in doubt and carried out, or not; not sent for long.
@@ -65,30 +65,32 @@
     if (reply.empty() || !std::holds_alternative<AcknowledgementRequest>(reply.back())) return;
     const int mark = std::get<AcknowledgementRequest>(reply.back()).updateId;
     const bool doubt = likely(broken), carried = !doubt || likely(0.5);
-    const Micros sent = (likely(broken) ? pick(6000) : 1 + pick(40)) * kMs;
+    const Micros sent = (likely(broken) ? pick(6000) : 1 + pick(40)) * kMillisecond;
     if (carried) later(sent, [=] { carryOut(reply); });
-    later(sent + (doubt ? 150 : 3) * kMs, [=] {
+    later(sent + (doubt ? 150 : 3) * kMillisecond, [=] {
       tell(UpdateDelivery{mark, !doubt ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete, 1});
     });
   }
   void join(ProxyId p) {
     joined.insert(p);
-    later(pick(300) * kMs, [=] { tell(ProxyConnected{p, p % 2, 5, false}); });  // its news come later
+    later(pick(300) * kMillisecond, [=] {
+      tell(ProxyConnected{p, p % 2, 5, false});
+    });  // its news come later
   }
   virtual void leave(ProxyId p) {
     joined.erase(p);
     for (Message& m : channel) waiting -= m.to.erase(p) > 0 ? m.lines : 0;
-    later(pick(300) * kMs, [=] { tell(ProxyDisconnected{p}); });
+    later(pick(300) * kMillisecond, [=] { tell(ProxyDisconnected{p}); });
   }
   // Servers drain together, and are back as new ones.
   void drain(int count) {
     for (int k = 0; k < count; ++k) {
-      const std::string name = Scene::name(pick(20));
-      EndpointListUpdate news{EndpointListKind::Delta, 0, {s->list[name]}};
+      const std::string name = SimulatedSupervisor::serverName(pick(20));
+      EndpointListUpdate news{EndpointListKind::Delta, 0, {s->endpoints[name]}};
       news.endpoints[0].state = EndpointState::Draining;
       tell(news);
       later(9 * kSecond, [=] {
-        EndpointListUpdate back{EndpointListKind::Delta, 0, {s->list[name]}};
+        EndpointListUpdate back{EndpointListKind::Delta, 0, {s->endpoints[name]}};
         back.endpoints[0].startedAt = s->now;
         tell(back);
       });
@@ -102,7 +104,7 @@
       what();
     }
     serve(settings.routesPerSecond / slow * static_cast<double>(span) / kSecond);
-    order(s->feed(std::exchange(told, {TimerFired{"sweep"}})));
+    order(s->handle(std::exchange(told, {TimerFired{"sweep"}})));
   }
   virtual void serve(double room) {
     while (!channel.empty() && room > 0) {
@@ -113,7 +115,9 @@
         waiting -= m.lines;
         const int mark = m.mark;
         if (p % 20 != 7)  // some never answer
-          later(100 * kMs + pick(600) * kMs, [=] { tell(UpdateAcknowledged{p, mark, kMs}); });
+          later(100 * kMillisecond + pick(600) * kMillisecond, [=] {
+            tell(UpdateAcknowledged{p, mark, kMillisecond});
+          });
       }
       if (m.to.empty()) channel.pop_front();
     }
@@ -127,23 +131,23 @@
       if (!std::holds_alternative<ProxyConnected>(e)) tell(std::move(e));
     }
     for (int p = 0; p < c.proxies; ++p) join(p);
-    step(20 * kMs);
+    step(20 * kMillisecond);
     drain(6);
-    step(10 * kMs);
+    step(10 * kMillisecond);
   }
   // The channel is as fast as stated again, and nothing more happens: orders were not shut in for good.
   void expectAllServed() {
     slow = 1, broken = 0;
-    for (int k = 0; k < 200; ++k) step(250 * kMs);
+    for (int k = 0; k < 200; ++k) step(250 * kMillisecond);
     for (int t = 0; t < GetParam().slices; ++t) {
-      EXPECT_FALSE(s->tables[t].empty()) << t;
-      for (const auto& [server, w] : s->tables[t])
-        EXPECT_EQ(s->list[server].state, EndpointState::Ready) << t;
+      EXPECT_FALSE(s->routes[t].empty()) << t;
+      for (const auto& [server, w] : s->routes[t])
+        EXPECT_EQ(s->endpoints[server].state, EndpointState::Ready) << t;
     }
   }
 
-  Settings settings = plainSettings();
-  std::unique_ptr<Scene> s;
+  Settings settings = testSettings();
+  std::unique_ptr<SimulatedSupervisor> s;
   Rng chance{GetParam().seed};
   const Micros start = 1000 * kSecond;
   std::multimap<Micros, std::function<void()>> agenda;
@@ -166,11 +170,11 @@
       for (int p = 0; p < c.proxies; ++p) {
         if (!likely(crowd ? 0.4 : 0.01)) continue;
         if (joined.count(p) > 0) leave(p);
-        later(crowd ? 2 * kSecond : pick(4000) * kMs, [=] {
+        later(crowd ? 2 * kSecond : pick(4000) * kMillisecond, [=] {
           if (joined.count(p) == 0) join(p);
         });
       }
-      for (int k2 = 0; k2 < 10; ++k2) step(100 * kMs + pick(150) * kMs);
+      for (int k2 = 0; k2 < 10; ++k2) step(100 * kMillisecond + pick(150) * kMillisecond);
       if (HasFailure()) return;
     }
   }
@@ -213,13 +217,13 @@
     }
     copies[p].clear();
     unread.insert(p);
-    later(pick(300) * kMs, [=] {
+    later(pick(300) * kMillisecond, [=] {
       if (unread.erase(p) > 0) tell(ProxyDisconnected{p});
     });
   }
   void comeBack(ProxyId p) {
     joined.insert(p);
-    later(pick(300) * kMs, [=, stream = streams[p]] {
+    later(pick(300) * kMillisecond, [=, stream = streams[p]] {
       if (streams[p] != stream) return;
       if (unread.erase(p) > 0) tell(ProxyDisconnected{p}), ++crossed;
       tell(ProxyConnected{p, p % 2, 5, true});
@@ -232,9 +236,9 @@
       for (; !waits.empty() && waits.front().turn <= served; waits.pop_front()) {
         waiting -= waits.front().lines;
         if (p % 20 == 7) continue;  // some never answer
-        later(100 * kMs + pick(600) * kMs, [this, c = waits.front()] {
+        later(100 * kMillisecond + pick(600) * kMillisecond, [this, c = waits.front()] {
           if (streams[c.to] == c.stream && known[c.to] == c.stream)
-            tell(UpdateAcknowledged{c.to, c.mark, kMs});
+            tell(UpdateAcknowledged{c.to, c.mark, kMillisecond});
         });
       }
     }
@@ -259,7 +263,7 @@
     for (int p = 0; p < GetParam().proxies; ++p) {
       if (joined.count(p) == 0 || !likely(0.7)) continue;
       leave(p);
-      later((likely(0.3) ? pick(200) : 1200 + pick(2000)) * kMs, [=] { comeBack(p); });
+      later((likely(0.3) ? pick(200) : 1200 + pick(2000)) * kMillisecond, [=] { comeBack(p); });
     }
   }
 
@@ -278,12 +282,12 @@
     slow = 1 + chance.uniform() * 7;
     for (int k = 0; k < 10; ++k) {
       drainSome();
-      step(100 * kMs + pick(150) * kMs);
+      step(100 * kMillisecond + pick(150) * kMillisecond);
     }
     killMost();
     for (int k = 0; k < 40; ++k) {
       if (likely(0.3)) drainSome();
-      step(50 * kMs + pick(150) * kMs);
+      step(50 * kMillisecond + pick(150) * kMillisecond);
     }
     if (HasFailure()) return;
   }
--- a/tests/rules/failback_test.cpp
+++ b/tests/rules/failback_test.cpp
@@ -8,13 +8,13 @@
 #include <deque>
 
 #include "state.h"
-#include "support/scene.h"
+#include "support/simulated_supervisor.h"
 
 namespace peargrade {
 namespace {
 
 constexpr int kSupervisors = 5, kSlices = 24, kServers = 12;
-constexpr Micros kStep = 250 * kMs;
+constexpr Micros kStep = 250 * kMillisecond;
 
 class Fleet : public testing::TestWithParam<std::uint64_t> {
  protected:
@@ -30,25 +30,25 @@
     settings.slices = kSupervisors * kSlices;
     for (int k = 0; k < kSupervisors; ++k) {
       all.emplace_back(settings, kServers, 100 * GetParam() + static_cast<std::uint64_t>(k));
-      Scene& s = all.back();
+      SimulatedSupervisor& s = all.back();
       for (int t = 0; t < kSlices; ++t) {
-        s.rates[{t, 0}] = rate();
-        even += s.rates[{t, 0}] / kServers;
+        s.requestRates[{t, 0}] = rate();
+        even += s.requestRates[{t, 0}] / kServers;
       }
-      s.reporting = false;  // here they come late
+      s.reportsLoad = false;  // here they come late
       s.start(kSlices);
     }
-    late = (200 + pick(1300)) * kMs;
+    late = (200 + pick(1300)) * kMillisecond;
   }
   void step() {
     for (std::size_t k = 0; k < all.size(); ++k) {
-      Scene& s = all[k];
+      SimulatedSupervisor& s = all[k];
       std::vector<Event> reports;
-      if ((s.now / kStep) % 2 == 0) s.report(reports);
+      if ((s.now / kStep) % 2 == 0) s.appendLoadReports(reports);
       onTheWay[k].emplace_back(s.now + late, std::move(reports));
       while (!onTheWay[k].empty() && onTheWay[k].front().first <= s.now) {
-        s.answers.insert(s.answers.end(), onTheWay[k].front().second.begin(),
-                         onTheWay[k].front().second.end());
+        s.pendingEvents.insert(s.pendingEvents.end(), onTheWay[k].front().second.begin(),
+                               onTheWay[k].front().second.end());
         onTheWay[k].pop_front();
       }
       s.run(kStep);
@@ -59,8 +59,8 @@
   void check() {
     for (auto& [name, started] : cold) {
       double sent = 0;
-      for (const Scene& s : all) {
-        for (int t = 0; t < kSlices; ++t) sent += s.home(t) == name ? s.rates.at({t, 0}) : 0;
+      for (const SimulatedSupervisor& s : all) {
+        for (int t = 0; t < kSlices; ++t) sent += s.primaryServer(t) == name ? s.requestRates.at({t, 0}) : 0;
       }
       const double age =
           static_cast<double>(all[0].now - started) / static_cast<double>(settings.slowStartWindow);
@@ -71,20 +71,21 @@
       double mean = 0;
       for (const double part : span) mean += part * kStep / settings.overloadDurationMax;
       most = std::max(most, mean);
-      EXPECT_LE(mean, settings.overloadFactor) << name << " at " << (all[0].now - started) / kMs << " ms";
+      EXPECT_LE(mean, settings.overloadFactor)
+          << name << " at " << (all[0].now - started) / kMillisecond << " ms";
     }
   }
   void startCold(int count) {
     for (int k = 0; k < count; ++k) {
-      const std::string name = Scene::name(static_cast<int>(kServers + cold.size()));
-      cold[name] = all[0].now - (300 + pick(2500)) * kMs;
-      for (Scene& s : all) s.tell(name, EndpointState::Ready, cold[name]);
+      const std::string name = SimulatedSupervisor::serverName(static_cast<int>(kServers + cold.size()));
+      cold[name] = all[0].now - (300 + pick(2500)) * kMillisecond;
+      for (SimulatedSupervisor& s : all) s.updateEndpoint(name, EndpointState::Ready, cold[name]);
     }
   }
 
   Rng chance{GetParam()};
-  Settings settings = plainSettings();
-  std::vector<Scene> all;
+  Settings settings = testSettings();
+  std::vector<SimulatedSupervisor> all;
   std::vector<std::deque<std::pair<Micros, std::vector<Event>>>> onTheWay{kSupervisors};
   std::map<std::string, Micros> cold;              // when it started
   std::map<std::string, std::deque<double>> over;  // what it is sent against what it can do, lately
@@ -100,15 +101,17 @@
     startCold(1 + pick(2));
     for (int k = pick(8); k > 0; --k) step();
     for (int n = 1 + pick(2); n > 0; --n, ++drained) {
-      for (Scene& s : all) s.tell(Scene::name(drained), EndpointState::Draining);
+      for (SimulatedSupervisor& s : all)
+        s.updateEndpoint(SimulatedSupervisor::serverName(drained), EndpointState::Draining);
     }
     for (int k = pick(20); k > 0; --k) step();
   }
   for (int k = 0; k < 40; ++k) step();
   RecordProperty("most", std::to_string(most));
   EXPECT_GT(most, 0.3) << "no cold server was given anything";
-  for (const Scene& s : all) {
-    for (int t = 0; t < kSlices; ++t) EXPECT_GE(s.home(t), Scene::name(drained)) << "left behind";
+  for (const SimulatedSupervisor& s : all) {
+    for (int t = 0; t < kSlices; ++t)
+      EXPECT_GE(s.primaryServer(t), SimulatedSupervisor::serverName(drained)) << "left behind";
   }
 }
 
