--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -8,8 +8,8 @@
 
 #include "supervisor/clock.h"
 #include "supervisor/signals.h"
+#include "support/decision_settings.h"
 #include "support/loop.h"
-#include "support/scene.h"
 
 namespace peargrade::supervisor {
 namespace {
@@ -56,8 +56,8 @@
   exchange.onTableUpdate([&](const dispatch::Dispatcher::TableUpdate& o) { orders.push_back(o); });
   const auto rest =
       exchange.dispatch({SetTimer{1, "t"}, SetRoute{1, "s", 1}, WatchEndpoints{true}, ClearTable{2},
-                      SetEjection{"s", EjectionState::Ejected}, PollEndpoints{}, SetAdmission{},
-                      AcknowledgementRequest{4}, WatchEndpoints{false}, Log{"x"}, HealthCheck{"s"}});
+                         SetEjection{"s", EjectionState::Ejected}, PollEndpoints{}, SetAdmission{},
+                         AcknowledgementRequest{4}, WatchEndpoints{false}, Log{"x"}, HealthCheck{"s"}});
   ASSERT_EQ(orders.size(), 1u) << "the orders of one reply stay together";
   ASSERT_EQ(orders[0].size(), 5u);
   EXPECT_TRUE(std::holds_alternative<SetRoute>(orders[0].front()));
@@ -89,7 +89,7 @@
 struct Round : testing::Test {
   ReadLog log;
   dispatch::Dispatcher exchange;
-  Settings settings = plainSettings();
+  Settings settings = testSettings();
   std::vector<dispatch::Dispatcher::TableUpdate> orders;
   int watches = 0;
 
--- a/tests/support/loop.h
+++ b/tests/support/loop.h
@@ -1,4 +1,5 @@
-// A loop for tests with sockets: turns until a condition holds. The limit only ends a test that has failed.
+// An event loop for tests with sockets, and what such tests need beside it: a listener, a readable log,
+// recorded events.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,28 +17,36 @@
 
 namespace peargrade {
 
+/// An event loop on the thread of the test.
 struct Loop {
+  /// Ends a test that has failed; no test that passes waits for it.
+  static constexpr Micros kTimeLimit = 20 * 1000000;
+  /// How often a condition is looked at when nothing else happens.
+  static constexpr Micros kCheckInterval = 5000;
+
   net::EventBase base = net::makeBase();
 
   Loop() { std::signal(SIGPIPE, SIG_IGN); }  // as the program does
 
-  bool until(const std::function<bool()>& holds, Micros limit = 20000000) {
+  /// Runs the loop until the condition holds. False: `limit` microseconds have passed.
+  bool until(const std::function<bool()>& holds, Micros limit = kTimeLimit) {
     net::Timer tick(base.get(), [] {});
     const Micros end = net::steadyNow() + limit;
     while (!holds()) {
       if (net::steadyNow() > end) return false;
-      tick.in(5000);
+      tick.in(kCheckInterval);
       event_base_loop(base.get(), EVLOOP_ONCE);
     }
     return true;
   }
 };
 
-// Something that a test does again and again, and not oftener than this.
+/// Limits something that a test repeats to once per interval.
 struct Pace {
   const Micros every;
   Micros next = 0;
 
+  /// Whether the interval since it was last due has passed.
   bool due() {
     const Micros now = net::steadyNow();
     if (now < next) return false;
@@ -46,25 +55,25 @@
   }
 };
 
-// A bare listener on loopback: what dials it stays in its queue.
+/// A listening socket on loopback that accepts nothing: connections stay in its backlog.
 struct Listener {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   net::Address address{"127.0.0.1", 0};
 
-  explicit Listener(int queue) {
-    sockaddr_in at = address.socket();
-    socklen_t size = sizeof at;
-    EXPECT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&at), size), 0);
-    EXPECT_EQ(listen(fd, queue), 0);
-    EXPECT_EQ(getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size), 0);
-    address.port = ntohs(at.sin_port);
+  explicit Listener(int backlog) {
+    sockaddr_in bound = address.socket();
+    socklen_t size = sizeof bound;
+    EXPECT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&bound), size), 0);
+    EXPECT_EQ(listen(fd, backlog), 0);
+    EXPECT_EQ(getsockname(fd, reinterpret_cast<sockaddr*>(&bound), &size), 0);
+    address.port = ntohs(bound.sin_port);
   }
   ~Listener() { close(fd); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 };
 
-// A log whose lines a test can read.
+/// A log that writes into a pipe, for tests that read its lines.
 struct ReadLog {
   int ends[2] = {-1, -1};
   std::unique_ptr<log::Log> log;
@@ -79,17 +88,19 @@
     close(ends[0]);
     close(ends[1]);
   }
+  /// Everything logged so far.
   const std::string& read() {
     log->flush();
-    char piece[65536];
+    char buffer[65536];
     evutil_make_socket_nonblocking(ends[0]);
-    for (ssize_t size; (size = ::read(ends[0], piece, sizeof piece)) > 0;) {
-      text.append(piece, static_cast<std::size_t>(size));
+    for (ssize_t size; (size = ::read(ends[0], buffer, sizeof buffer)) > 0;) {
+      text.append(buffer, static_cast<std::size_t>(size));
       log->flush();
     }
     return text;
   }
   bool has(const std::string& part) { return read().find(part) != std::string::npos; }
+  /// How often `part` occurs in everything logged so far.
   std::size_t count(const std::string& part) {
     read();
     std::size_t found = 0;
@@ -98,19 +109,23 @@
   }
 };
 
+/// Two zones, two machine types, two request classes.
 inline discovery::Names testNames() { return {{"a", "b"}, {"m1", "m2"}, {"lookup", "order"}}; }
 
-// What has come through the exchange, in order.
+/// The events that a dispatcher has passed on, in their order.
 struct Seen {
   std::vector<Event> events;
-  void take(dispatch::Dispatcher& exchange) {
-    for (Event& e : exchange.take()) events.push_back(std::move(e));
+
+  /// Takes the events that wait in the dispatcher.
+  void take(dispatch::Dispatcher& dispatcher) {
+    for (Event& event : dispatcher.take()) events.push_back(std::move(event));
   }
+  /// The events of one type.
   template <class T>
   std::vector<T> all() const {
     std::vector<T> found;
-    for (const Event& e : events) {
-      if (const T* t = std::get_if<T>(&e)) found.push_back(*t);
+    for (const Event& event : events) {
+      if (const T* match = std::get_if<T>(&event)) found.push_back(*match);
     }
     return found;
   }
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -1,4 +1,4 @@
-// The program as a test starts it.
+// Child processes of a test, their files and their addresses.
 #pragma once
 
 #include <fcntl.h>
@@ -18,56 +18,48 @@
 
 namespace peargrade {
 
-// A program with its output in a file; killed if the test ends before it does.
+/// A child process with its output in a file; killed where it still runs when this is destroyed.
 class Program {
  public:
-  // `log`: where its output goes in place of the file; `descriptors`: how many it may hold.
-  Program(const std::vector<std::string>& words, const std::vector<std::string>& variables = {}, int log = -1,
-          rlim_t descriptors = 0) {
-    out_ = testing::TempDir() + "peargrade_out_" + std::to_string(getpid()) + "_" + std::to_string(++count_);
-    pid_ = fork();
-    if (pid_ == 0) {
-      const int fd = log >= 0 ? log : open(out_.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
-      const rlimit most{descriptors, descriptors};
-      if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &most);
-      dup2(fd, 1);
-      dup2(fd, 2);
-      std::vector<char*> argv, env;
-      for (const std::string& w : words) argv.push_back(const_cast<char*>(w.c_str()));
-      for (const std::string& v : variables) env.push_back(const_cast<char*>(v.c_str()));
-      argv.push_back(nullptr);
-      env.push_back(nullptr);
-      execve(argv[0], argv.data(), env.data());
-      _exit(127);
-    }
+  /// `command`: path and arguments. `environment`: its whole environment. `outputDescriptor`: takes the
+  /// output in place of the file, where not negative. `descriptorLimit`: limit of open files; 0: that of the
+  /// test.
+  explicit Program(const std::vector<std::string>& command, const std::vector<std::string>& environment = {},
+                   int outputDescriptor = -1, rlim_t descriptorLimit = 0)
+      : outputPath_(testing::TempDir() + "peargrade_out_" + std::to_string(getpid()) + "_" +
+                    std::to_string(++count_)),
+        pid_(fork()) {
+    if (pid_ == 0) execute(command, environment, outputDescriptor, descriptorLimit);
   }
   ~Program() {
     if (pid_ > 0 && !ended()) {
       kill(pid_, SIGKILL);
       waitpid(pid_, &status_, 0);
     }
-    std::remove(out_.c_str());
+    std::remove(outputPath_.c_str());
   }
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
 
   bool ended() {
-    if (!over_ && waitpid(pid_, &status_, WNOHANG) == pid_) over_ = true;
-    return over_;
+    if (!ended_ && waitpid(pid_, &status_, WNOHANG) == pid_) ended_ = true;
+    return ended_;
   }
-  int wait() {  // its exit code, or -1 where a signal ended it
-    if (!over_) waitpid(pid_, &status_, 0);
-    over_ = true;
+  /// Waits for its end. Returns its exit code, or -1 where a signal ended it.
+  int wait() {
+    if (!ended_) waitpid(pid_, &status_, 0);
+    ended_ = true;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
   void signal(int number) { kill(pid_, number); }
-  // Stands still when this returns, until SIGCONT.
+  /// Stops it until SIGCONT. It has stopped when this returns.
   void stop() {
     kill(pid_, SIGSTOP);
     int status = 0;
     while (waitpid(pid_, &status, WUNTRACED) == pid_ && !WIFSTOPPED(status)) {
     }
   }
+  /// Peak of its resident memory in MiB; -1: unknown.
   long peakMemoryMb() const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(in, line);) {
@@ -75,6 +67,7 @@
     }
     return -1;
   }
+  /// Its open files.
   long descriptors() const {
     long count = 0;
     for ([[maybe_unused]] const auto& entry :
@@ -83,26 +76,52 @@
     return count;
   }
   std::string output() const {
-    std::ifstream in(out_);
+    std::ifstream in(outputPath_);
     return {std::istreambuf_iterator<char>(in), {}};
   }
 
  private:
+  // Pointers to the words and a null, as execve takes them.
+  static std::vector<char*> pointers(const std::vector<std::string>& words) {
+    std::vector<char*> pointers;
+    pointers.reserve(words.size() + 1);
+    for (const std::string& word : words) pointers.push_back(const_cast<char*>(word.c_str()));
+    pointers.push_back(nullptr);
+    return pointers;
+  }
+  // In the child process.
+  [[noreturn]] void execute(const std::vector<std::string>& command,
+                            const std::vector<std::string>& environment, int outputDescriptor,
+                            rlim_t descriptorLimit) const {
+    const int output = outputDescriptor >= 0 ? outputDescriptor
+                                             : open(outputPath_.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
+    const rlimit limit{descriptorLimit, descriptorLimit};
+    if (descriptorLimit > 0) setrlimit(RLIMIT_NOFILE, &limit);
+    dup2(output, STDOUT_FILENO);
+    dup2(output, STDERR_FILENO);
+    execve(command.front().c_str(), pointers(command).data(), pointers(environment).data());
+    constexpr int kCannotExecute = 127;
+    _exit(kCannotExecute);
+  }
+
   static inline int count_ = 0;
-  pid_t pid_ = -1;
+  const std::string outputPath_;
+  const pid_t pid_;
   int status_ = 0;
-  bool over_ = false;
-  std::string out_;
+  bool ended_ = false;
 };
+
+/// `text` with the first occurrence of `part` replaced; a failed check where there is none.
 inline std::string replaced(std::string text, const std::string& part, const std::string& other) {
   const auto at = text.find(part);
   EXPECT_NE(at, std::string::npos) << part;
   return at == std::string::npos ? text : text.replace(at, part.size(), other);
 }
 
-// A file with a text for as long as this lives.
+/// A temporary file with a text, removed when this is destroyed. Its name has the process id and `ending`.
 struct Written {
   std::string path;
+
   Written(const std::string& ending, const std::string& text)
       : path(testing::TempDir() + "peargrade_" + std::to_string(getpid()) + ending) {
     std::ofstream(path) << text;
@@ -112,7 +131,7 @@
   Written& operator=(const Written&) = delete;
 };
 
-// An address of the loopback range that no other test run uses.
+/// An address of the loopback range that no other running test uses.
 inline std::string ownHost() {
   const int pid = getpid();
   return "127." + std::to_string(64 + pid / 65536 % 64) + "." + std::to_string(pid / 256 % 256) + "." +
--- a/tests/support/server_list.h
+++ b/tests/support/server_list.h
@@ -1,4 +1,5 @@
-// The list of servers as the module holds it, put together from the news that came through the exchange.
+// The endpoint list as the decision engine sees it, put together from the updates that a dispatcher has
+// passed on.
 #pragma once
 
 #include <map>
@@ -7,17 +8,19 @@
 
 namespace peargrade {
 
-// The state of each server that is listed.
+/// The state of each listed server after all updates that were seen.
 inline std::map<ServerId, EndpointState> serverList(const Seen& seen) {
-  std::map<ServerId, EndpointState> all;
-  for (const EndpointListUpdate& news : seen.all<EndpointListUpdate>()) {
-    if (news.kind == EndpointListKind::Full) all.clear();
-    for (const Endpoint& e : news.endpoints) {
-      all[e.server] = e.state;
-      if (e.state == EndpointState::Removed) all.erase(e.server);
+  std::map<ServerId, EndpointState> states;
+  for (const EndpointListUpdate& update : seen.all<EndpointListUpdate>()) {
+    if (update.kind == EndpointListKind::Full) states.clear();
+    for (const Endpoint& endpoint : update.endpoints) {
+      if (endpoint.state == EndpointState::Removed)
+        states.erase(endpoint.server);
+      else
+        states[endpoint.server] = endpoint.state;
     }
   }
-  return all;
+  return states;
 }
 
 }  // namespace peargrade
