--- a/tests/decision/recovery_ramp_test.cpp
+++ b/tests/decision/recovery_ramp_test.cpp
@@ -8,7 +8,7 @@
 #include <deque>
 
 #include "decision/random.h"
-#include "support/scene.h"
+#include "support/simulated_supervisor.h"
 
 namespace peargrade {
 namespace {
@@ -16,7 +16,7 @@
 constexpr int kSupervisors = 5;
 constexpr int kSlices = 24;
 constexpr int kServers = 12;
-constexpr Micros kStep = 250 * kMs;
+constexpr Micros kStep = 250 * kMillisecond;
 
 class RecoveryRamp : public testing::TestWithParam<std::uint64_t> {
  protected:
@@ -33,25 +33,25 @@
     settings.slices = kSupervisors * kSlices;
     for (int k = 0; k < kSupervisors; ++k) {
       all.emplace_back(settings, kServers, 100 * GetParam() + static_cast<std::uint64_t>(k));
-      Scene& s = all.back();
+      SimulatedSupervisor& s = all.back();
       for (int t = 0; t < kSlices; ++t) {
-        s.rates[{t, 0}] = requestRate();
-        fairRate += s.rates[{t, 0}] / kServers;
+        s.requestRates[{t, 0}] = requestRate();
+        fairRate += s.requestRates[{t, 0}] / kServers;
       }
-      s.reporting = false;  // this test delays the reports
+      s.reportsLoad = false;  // this test delays the reports
       s.start(kSlices);
     }
-    reportDelay = (200 + pick(1300)) * kMs;
+    reportDelay = (200 + pick(1300)) * kMillisecond;
   }
   void step() {
     for (std::size_t k = 0; k < all.size(); ++k) {
-      Scene& s = all[k];
+      SimulatedSupervisor& s = all[k];
       std::vector<Event> reports;
-      if ((s.now / kStep) % 2 == 0) s.report(reports);
+      if ((s.now / kStep) % 2 == 0) s.appendLoadReports(reports);
       delayedReports[k].emplace_back(s.now + reportDelay, std::move(reports));
       while (!delayedReports[k].empty() && delayedReports[k].front().first <= s.now) {
-        s.answers.insert(s.answers.end(), delayedReports[k].front().second.begin(),
-                         delayedReports[k].front().second.end());
+        s.pendingEvents.insert(s.pendingEvents.end(), delayedReports[k].front().second.begin(),
+                               delayedReports[k].front().second.end());
         delayedReports[k].pop_front();
       }
       s.run(kStep);
@@ -63,8 +63,8 @@
   void expectNoOverload() {
     for (auto& [name, started] : warming) {
       double sent = 0;
-      for (const Scene& s : all) {
-        for (int t = 0; t < kSlices; ++t) sent += s.home(t) == name ? s.rates.at({t, 0}) : 0;
+      for (const SimulatedSupervisor& s : all) {
+        for (int t = 0; t < kSlices; ++t) sent += s.primaryServer(t) == name ? s.requestRates.at({t, 0}) : 0;
       }
       const double age =
           static_cast<double>(all[0].now - started) / static_cast<double>(settings.slowStartWindow);
@@ -76,20 +76,21 @@
       double mean = 0;
       for (const double part : span) mean += part * kStep / settings.overloadDurationMax;
       most = std::max(most, mean);
-      EXPECT_LE(mean, settings.overloadFactor) << name << " at " << (all[0].now - started) / kMs << " ms";
+      EXPECT_LE(mean, settings.overloadFactor)
+          << name << " at " << (all[0].now - started) / kMillisecond << " ms";
     }
   }
   void startServers(int count) {
     for (int k = 0; k < count; ++k) {
-      const std::string name = Scene::name(static_cast<int>(kServers + warming.size()));
-      warming[name] = all[0].now - (300 + pick(2500)) * kMs;
-      for (Scene& s : all) s.tell(name, EndpointState::Ready, warming[name]);
+      const std::string name = SimulatedSupervisor::serverName(static_cast<int>(kServers + warming.size()));
+      warming[name] = all[0].now - (300 + pick(2500)) * kMillisecond;
+      for (SimulatedSupervisor& s : all) s.updateEndpoint(name, EndpointState::Ready, warming[name]);
     }
   }
 
   decision::Random chance{GetParam()};
-  Settings settings = plainSettings();
-  std::vector<Scene> all;
+  Settings settings = testSettings();
+  std::vector<SimulatedSupervisor> all;
   std::vector<std::deque<std::pair<Micros, std::vector<Event>>>> delayedReports{kSupervisors};
   std::map<std::string, Micros> warming;            // when each started
   std::map<std::string, std::deque<double>> loads;  // requests against capacity, lately
@@ -105,15 +106,17 @@
     startServers(1 + pick(2));
     for (int k = pick(8); k > 0; --k) step();
     for (int n = 1 + pick(2); n > 0; --n, ++drained) {
-      for (Scene& s : all) s.tell(Scene::name(drained), EndpointState::Draining);
+      for (SimulatedSupervisor& s : all)
+        s.updateEndpoint(SimulatedSupervisor::serverName(drained), EndpointState::Draining);
     }
     for (int k = pick(20); k > 0; --k) step();
   }
   for (int k = 0; k < 40; ++k) step();
   RecordProperty("most", std::to_string(most));
   EXPECT_GT(most, 0.3) << "no warming server received slices";
-  for (const Scene& s : all) {
-    for (int t = 0; t < kSlices; ++t) EXPECT_GE(s.home(t), Scene::name(drained)) << "on a drained server";
+  for (const SimulatedSupervisor& s : all) {
+    for (int t = 0; t < kSlices; ++t)
+      EXPECT_GE(s.primaryServer(t), SimulatedSupervisor::serverName(drained)) << "on a drained server";
   }
 }
 
--- a/tests/decision/update_channel_model_test.cpp
+++ b/tests/decision/update_channel_model_test.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 
 #include "decision/random.h"
-#include "support/scene.h"
+#include "support/simulated_supervisor.h"
 
 namespace peargrade {
 namespace {
@@ -30,7 +30,7 @@
   int pick(int n) { return static_cast<int>(chance.next() % static_cast<std::uint64_t>(n)); }
   bool likely(double p) { return chance.uniform() < p; }
   void schedule(Micros delay, std::function<void()> task) {
-    agenda.emplace(scene->now + delay, std::move(task));
+    agenda.emplace(supervisor->now + delay, std::move(task));
   }
   void post(Event event) { events.push_back(std::move(event)); }
 
@@ -43,8 +43,9 @@
     settings.pendingRoutesMax = 1.5 * settings.routesPerSecond;
     settings.messageOverheadRoutes = 16;
     settings.messagesPerProxyMax = 30;
-    scene = std::make_unique<Scene>(settings, 20, c.seed);
-    scene->confirming = scene->reporting = false;
+    supervisor = std::make_unique<SimulatedSupervisor>(settings, 20, c.seed);
+    supervisor->acknowledgesUpdates = false;
+    supervisor->reportsLoad = false;
   }
 
   /// The relay sends an update: a message of an overhead and its routes to each proxy connected by then.
@@ -59,7 +60,8 @@
     inFlight += m.routes * static_cast<double>(m.to.size());
     enqueue(std::move(m));
     most = std::max(most, inFlight / settings.pendingRoutesMax);
-    EXPECT_LE(inFlight, settings.pendingRoutesMax) << "at " << (scene->now - startedAt) / kMs << " ms";
+    EXPECT_LE(inFlight, settings.pendingRoutesMax)
+        << "at " << (supervisor->now - startedAt) / kMillisecond << " ms";
   }
   virtual void enqueue(Message m) { channel.push_back(std::move(m)); }
   /// Each update is delivered, or its delivery is unknown and it was sent or not, or it is delayed for long.
@@ -72,44 +74,46 @@
     const int updateId = std::get<AcknowledgementRequest>(update.back()).updateId;
     const bool isUnknown = likely(unknownShare);
     const bool isSent = !isUnknown || likely(0.5);
-    const Micros sentAfter = (likely(unknownShare) ? pick(6000) : 1 + pick(40)) * kMs;
+    const Micros sentAfter = (likely(unknownShare) ? pick(6000) : 1 + pick(40)) * kMillisecond;
     if (isSent) schedule(sentAfter, [=] { sendMessages(update); });
-    schedule(sentAfter + (isUnknown ? 150 : 3) * kMs, [=] {
+    schedule(sentAfter + (isUnknown ? 150 : 3) * kMillisecond, [=] {
       post(UpdateDelivery{updateId, !isUnknown ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete, 1});
     });
   }
   void connect(ProxyId p) {
     connected.insert(p);
-    schedule(pick(300) * kMs, [=] { post(ProxyConnected{p, p % 2, 5, false}); });  // its event comes later
+    schedule(pick(300) * kMillisecond, [=] {
+      post(ProxyConnected{p, p % 2, 5, false});
+    });  // its event comes later
   }
   virtual void disconnect(ProxyId p) {
     connected.erase(p);
     for (Message& m : channel) inFlight -= m.to.erase(p) > 0 ? m.routes : 0;
-    schedule(pick(300) * kMs, [=] { post(ProxyDisconnected{p}); });
+    schedule(pick(300) * kMillisecond, [=] { post(ProxyDisconnected{p}); });
   }
   /// Servers drain together, and restart.
   void drain(int count) {
     for (int k = 0; k < count; ++k) {
-      const std::string name = Scene::name(pick(20));
-      EndpointListUpdate draining{EndpointListKind::Delta, 0, {scene->list[name]}};
+      const std::string name = SimulatedSupervisor::serverName(pick(20));
+      EndpointListUpdate draining{EndpointListKind::Delta, 0, {supervisor->endpoints[name]}};
       draining.endpoints[0].state = EndpointState::Draining;
       post(draining);
       schedule(9 * kSecond, [=] {
-        EndpointListUpdate back{EndpointListKind::Delta, 0, {scene->list[name]}};
-        back.endpoints[0].startedAt = scene->now;
+        EndpointListUpdate back{EndpointListKind::Delta, 0, {supervisor->endpoints[name]}};
+        back.endpoints[0].startedAt = supervisor->now;
         post(back);
       });
     }
   }
   void step(Micros span) {
-    scene->now += span;
-    while (!agenda.empty() && agenda.begin()->first <= scene->now) {
+    supervisor->now += span;
+    while (!agenda.empty() && agenda.begin()->first <= supervisor->now) {
       const auto task = agenda.begin()->second;
       agenda.erase(agenda.begin());
       task();
     }
     drainChannel(settings.routesPerSecond / slow * static_cast<double>(span) / kSecond);
-    deliver(scene->feed(std::exchange(events, {TimerFired{"sweep"}})));
+    deliver(supervisor->handle(std::exchange(events, {TimerFired{"sweep"}})));
   }
   virtual void drainChannel(double capacity) {
     while (!channel.empty() && capacity > 0) {
@@ -120,7 +124,9 @@
         inFlight -= m.routes;
         const int updateId = m.updateId;
         if (p % 20 != 7)  // some never answer
-          schedule(100 * kMs + pick(600) * kMs, [=] { post(UpdateAcknowledged{p, updateId, kMs}); });
+          schedule(100 * kMillisecond + pick(600) * kMillisecond, [=] {
+            post(UpdateAcknowledged{p, updateId, kMillisecond});
+          });
       }
       if (m.to.empty()) channel.pop_front();
     }
@@ -129,29 +135,29 @@
   void start() {
     begin();
     const Case& c = GetParam();
-    std::vector<Event> ev = scene->startEvents(c.slices);
+    std::vector<Event> ev = supervisor->startEvents(c.slices);
     for (Event& e : ev) {  // the proxies connect before their events
       if (!std::holds_alternative<ProxyConnected>(e)) post(std::move(e));
     }
     for (int p = 0; p < c.proxies; ++p) connect(p);
-    step(20 * kMs);
+    step(20 * kMillisecond);
     drain(6);
-    step(10 * kMs);
+    step(10 * kMillisecond);
   }
   /// The channel is as fast as stated again, and nothing more happens: no update is held back for good.
   void expectAllServed() {
     slow = 1;
     unknownShare = 0;
-    for (int k = 0; k < 200; ++k) step(250 * kMs);
+    for (int k = 0; k < 200; ++k) step(250 * kMillisecond);
     for (int t = 0; t < GetParam().slices; ++t) {
-      EXPECT_FALSE(scene->tables[t].empty()) << t;
-      for (const auto& [server, w] : scene->tables[t])
-        EXPECT_EQ(scene->list[server].state, EndpointState::Ready) << t;
+      EXPECT_FALSE(supervisor->routes[t].empty()) << t;
+      for (const auto& [server, w] : supervisor->routes[t])
+        EXPECT_EQ(supervisor->endpoints[server].state, EndpointState::Ready) << t;
     }
   }
 
-  Settings settings = plainSettings();
-  std::unique_ptr<Scene> scene;
+  Settings settings = testSettings();
+  std::unique_ptr<SimulatedSupervisor> supervisor;
   decision::Random chance{GetParam().seed};
   const Micros startedAt = 1000 * kSecond;
   std::multimap<Micros, std::function<void()>> agenda;
@@ -176,11 +182,11 @@
       for (int p = 0; p < c.proxies; ++p) {
         if (!likely(crowd ? 0.4 : 0.01)) continue;
         if (connected.count(p) > 0) disconnect(p);
-        schedule(crowd ? 2 * kSecond : pick(4000) * kMs, [=] {
+        schedule(crowd ? 2 * kSecond : pick(4000) * kMillisecond, [=] {
           if (connected.count(p) == 0) connect(p);
         });
       }
-      for (int k2 = 0; k2 < 10; ++k2) step(100 * kMs + pick(150) * kMs);
+      for (int k2 = 0; k2 < 10; ++k2) step(100 * kMillisecond + pick(150) * kMillisecond);
       if (HasFailure()) return;
     }
   }
@@ -225,13 +231,13 @@
     }
     copies[p].clear();
     unread.insert(p);
-    schedule(pick(300) * kMs, [=] {
+    schedule(pick(300) * kMillisecond, [=] {
       if (unread.erase(p) > 0) post(ProxyDisconnected{p});
     });
   }
   void reconnect(ProxyId p) {
     connected.insert(p);
-    schedule(pick(300) * kMs, [=, connection = connections[p]] {
+    schedule(pick(300) * kMillisecond, [=, connection = connections[p]] {
       if (connections[p] != connection) return;
       if (unread.erase(p) > 0) {
         post(ProxyDisconnected{p});
@@ -247,9 +253,9 @@
       for (; !queue.empty() && queue.front().turn <= served; queue.pop_front()) {
         inFlight -= queue.front().routes;
         if (p % 20 == 7) continue;  // some never answer
-        schedule(100 * kMs + pick(600) * kMs, [this, c = queue.front()] {
+        schedule(100 * kMillisecond + pick(600) * kMillisecond, [this, c = queue.front()] {
           if (connections[c.to] == c.connection && known[c.to] == c.connection)
-            post(UpdateAcknowledged{c.to, c.updateId, kMs});
+            post(UpdateAcknowledged{c.to, c.updateId, kMillisecond});
         });
       }
     }
@@ -265,16 +271,16 @@
   }
   /// Half of the servers stay: without any there would be nothing to update.
   void drainSome() {
-    while (!drains.empty() && drains.front() < scene->now - 9 * kSecond) drains.pop_front();
+    while (!drains.empty() && drains.front() < supervisor->now - 9 * kSecond) drains.pop_front();
     if (drains.size() >= 10) return;
-    drains.push_back(scene->now);
+    drains.push_back(supervisor->now);
     drain(1);
   }
   void killMost() {
     for (int p = 0; p < GetParam().proxies; ++p) {
       if (connected.count(p) == 0 || !likely(0.7)) continue;
       disconnect(p);
-      schedule((likely(0.3) ? pick(200) : 1200 + pick(2000)) * kMs, [=] { reconnect(p); });
+      schedule((likely(0.3) ? pick(200) : 1200 + pick(2000)) * kMillisecond, [=] { reconnect(p); });
     }
   }
 
@@ -294,12 +300,12 @@
     slow = 1 + chance.uniform() * 7;
     for (int k = 0; k < 10; ++k) {
       drainSome();
-      step(100 * kMs + pick(150) * kMs);
+      step(100 * kMillisecond + pick(150) * kMillisecond);
     }
     killMost();
     for (int k = 0; k < 40; ++k) {
       if (likely(0.3)) drainSome();
-      step(50 * kMs + pick(150) * kMs);
+      step(50 * kMillisecond + pick(150) * kMillisecond);
     }
     if (HasFailure()) return;
   }
--- a/tests/supervisor/engine_runner_test.cpp
+++ b/tests/supervisor/engine_runner_test.cpp
@@ -3,8 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "support/decision_settings.h"
 #include "support/loop.h"
-#include "support/scene.h"
 
 namespace peargrade::supervisor {
 namespace {
@@ -12,7 +12,7 @@
 struct EngineRunnerTest : testing::Test {
   ReadLog log;
   dispatch::Dispatcher dispatcher;
-  Settings settings = plainSettings();
+  Settings settings = testSettings();
   std::vector<dispatch::Dispatcher::TableUpdate> updates;
   int listRequests = 0;
 
