--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -3,90 +3,50 @@
 #include <poll.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <chrono>
 #include <climits>
 #include <ctime>
 #include <iomanip>
+#include <iterator>
 
 namespace peargrade::log {
 namespace {
 
-constexpr std::size_t kBufferMax = std::size_t{256} << 10;
-constexpr std::size_t kLineMax = 2048;
-const char* const kLevels[] = {"debug", "info", "warn", "error", "off"};
+constexpr std::size_t kBufferMax = std::size_t{256} << 10;  // bytes
+constexpr std::size_t kLineMax = 2048;                      // bytes, with its end
+constexpr const char* kLevelNames[] = {"debug", "info", "warn", "error", "off"};
 
-std::string stamp() {
+// UTC with milliseconds, as in 2024-05-01T12:00:00.000Z.
+std::string timestamp() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
-  const std::time_t seconds = static_cast<std::time_t>(ms / 1000);
+  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
+  const std::time_t seconds = static_cast<std::time_t>(milliseconds / 1000);
   std::tm utc{};
   gmtime_r(&seconds, &utc);
   std::ostringstream text;
-  text << std::put_time(&utc, "%Y-%m-%dT%H:%M:%S") << '.' << std::setw(3) << std::setfill('0') << ms % 1000
-       << 'Z';
+  text << std::put_time(&utc, "%Y-%m-%dT%H:%M:%S") << '.' << std::setw(3) << std::setfill('0')
+       << milliseconds % 1000 << 'Z';
   return text.str();
 }
 
-}  // namespace
-
-const char* code(Reason reason) {
-  switch (reason) {
-    case Reason::PeerClosed:
-      return "peer-closed";
-    case Reason::Reset:
-      return "reset";
-    case Reason::Refused:
-      return "refused";
-    case Reason::ConnectTimeout:
-      return "connect-timeout";
-    case Reason::Silent:
-      return "silent";
-    case Reason::IdleClosed:
-      return "idle-closed";
-    case Reason::NoAnswer:
-      return "no-answer";
-    case Reason::BadLength:
-      return "bad-length";
-    case Reason::BadMessage:
-      return "bad-message";
-    case Reason::BadAnswer:
-      return "bad-answer";
-    case Reason::TooLong:
-      return "too-long";
-    case Reason::SlowReader:
-      return "slow-reader";
-    case Reason::ConnectionLimit:
-      return "connection-limit";
-    case Reason::Unidentified:
-      return "unidentified";
-    case Reason::NotJoined:
-      return "not-joined";
-    case Reason::IncompleteMessage:
-      return "incomplete-message";
-    case Reason::HeartbeatsOnly:
-      return "heartbeats-only";
-    case Reason::Moved:
-      return "moved";
-    case Reason::RevisionRegressed:
-      return "revision-regressed";
-    case Reason::Discarded:
-      return "discarded";
-    case Reason::Stopping:
-      return "stopping";
-  }
-  return "unknown";
+bool isControl(char c) {
+  const auto byte = static_cast<unsigned char>(c);
+  return byte < ' ' || byte == 127;
 }
 
+}  // namespace
+
 std::optional<Level> levelNamed(const std::string& name) {
-  for (int k = 0; k < 5; ++k) {
-    if (name == kLevels[k]) return static_cast<Level>(k);
-  }
-  return std::nullopt;
+  const auto found = std::find(std::begin(kLevelNames), std::end(kLevelNames), name);
+  if (found == std::end(kLevelNames)) return std::nullopt;
+  return static_cast<Level>(found - std::begin(kLevelNames));
 }
 
 Line::Line(Log* log, Level level, const char* part) : log_(log) {
-  if (log_ != nullptr) text_ << stamp() << ' ' << kLevels[static_cast<int>(level)] << ' ' << part << ": ";
+  if (log_ != nullptr)
+    text_ << timestamp() << ' ' << kLevelNames[static_cast<int>(level)] << ' ' << part << ": ";
 }
 
 Line::~Line() {
@@ -103,38 +63,40 @@
   if (!detail.empty()) text << " (" << detail << ")";
 }
 
-// What comes from outside may hold anything: control bytes are replaced so that a line stays one line.
+// Text from outside may hold control characters. They are replaced so that a line stays one line.
 void Log::add(const std::string& text) {
   if (buffer_.size() + kLineMax > kBufferMax) {
     ++dropped_;
-    ++unsaid_;
+    ++droppedNotYetLogged_;
     return;
   }
-  for (std::size_t i = 0; i < text.size() && i < kLineMax - 2; ++i) {
-    const unsigned char c = static_cast<unsigned char>(text[i]);
-    buffer_.push_back(c < ' ' || c == 127 ? '?' : text[i]);
-  }
+  const std::size_t length = std::min(text.size(), kLineMax - 2);
+  std::replace_copy_if(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(length),
+                       std::back_inserter(buffer_), isControl, '?');
   buffer_.push_back('\n');
 }
 
-// A pipe that poll calls writable takes PIPE_BUF bytes without blocking.
+// A pipe that poll() reports as writable takes PIPE_BUF bytes without blocking.
 void Log::flush() {
-  std::size_t done = 0;
-  while (done < buffer_.size()) {
+  std::size_t written = 0;
+  while (written < buffer_.size()) {
     pollfd ready{fd_, POLLOUT, 0};
     if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) break;
-    const std::size_t size = std::min<std::size_t>(buffer_.size() - done, PIPE_BUF);
-    const ssize_t wrote = write(fd_, buffer_.data() + done, size);
-    if (wrote < 0 && errno == EINTR) continue;
-    if (wrote <= 0) break;
-    done += static_cast<std::size_t>(wrote);
-  }
-  buffer_.erase(0, done);
-  if (unsaid_ > 0 && buffer_.size() < kBufferMax / 2) {
-    const std::uint64_t lost = unsaid_;
-    unsaid_ = 0;
-    warn("log") << lost << " lines lost to a slow reader";
+    const std::size_t size = std::min<std::size_t>(buffer_.size() - written, PIPE_BUF);
+    const ssize_t taken = write(fd_, buffer_.data() + written, size);
+    if (taken < 0 && errno == EINTR) continue;
+    if (taken <= 0) break;
+    written += static_cast<std::size_t>(taken);
   }
+  buffer_.erase(0, written);
+  reportDroppedLines();
+}
+
+void Log::reportDroppedLines() {
+  if (droppedNotYetLogged_ == 0 || buffer_.size() >= kBufferMax / 2) return;
+  const std::uint64_t lines = droppedNotYetLogged_;
+  droppedNotYetLogged_ = 0;
+  warn("log") << lines << " lines lost to a slow reader";
 }
 
 }  // namespace peargrade::log
--- a/src/log/reason.h
+++ b/src/log/reason.h
@@ -1,34 +1,35 @@
-// Why a connection ended: the codes that stand in its one log line. docs/oncall.md lists them.
+/// Why connections end: the codes of their log lines.
 #pragma once
 
-#include <string>
-
 namespace peargrade::log {
 
+/// The reason that a connection's one log line states. docs/oncall.md lists the codes with what an operator
+/// does.
 enum class Reason {
-  PeerClosed,         // the peer closed it in order
-  Reset,              // the peer or the network broke it
-  Refused,            // the dial was refused
-  ConnectTimeout,     // the dial never came up
-  Silent,             // no sign of life within the peer's limit
-  IdleClosed,         // an order connection that had nothing to carry was closed by the relay
-  NoAnswer,           // a call was not answered in time
-  BadLength,          // a frame longer than allowed
-  BadMessage,         // a frame, line or object that cannot be read
-  BadAnswer,          // an answer that cannot be read, or a status other than success
-  TooLong,            // a line or body longer than allowed
-  SlowReader,         // the peer does not read what it is sent
-  ConnectionLimit,    // closed to make room for others
-  Unidentified,       // said nothing of use in time
-  NotJoined,          // reported before it joined
-  IncompleteMessage,  // a message that was begun and did not end in time
-  HeartbeatsOnly,     // kept its connection without joining
-  Moved,              // the configuration names another address
-  RevisionRegressed,  // discovery went back behind what it had told
-  Discarded,          // the supervisor ended it: no further use
-  Stopping,           // the supervisor ends
+  PeerClosed,         ///< The peer closed in order.
+  Reset,              ///< The peer or the network broke the connection.
+  Refused,            ///< The connection attempt was refused.
+  ConnectTimeout,     ///< The connection attempt was not answered in time.
+  Silent,             ///< No input within the peer's limit.
+  IdleClosed,         ///< The relay closed a call connection without calls.
+  NoAnswer,           ///< A call was not answered in time.
+  BadLength,          ///< A frame exceeds its length limit.
+  BadMessage,         ///< A frame, line or object is malformed.
+  BadAnswer,          ///< A reply is malformed, or its status is no success.
+  TooLong,            ///< A line or body exceeds its length limit.
+  SlowReader,         ///< The peer does not read what it is sent.
+  ConnectionLimit,    ///< Evicted to make room for other connections.
+  Unidentified,       ///< Neither joined nor sent a heartbeat in time.
+  NotJoined,          ///< Sent a load report before joining.
+  IncompleteMessage,  ///< A message was not completed in time.
+  HeartbeatsOnly,     ///< Sent heartbeats for the time allowed and did not join.
+  Moved,              ///< The configuration names another address.
+  RevisionRegressed,  ///< Discovery sent an older revision than before.
+  Discarded,          ///< The supervisor had no further use for the connection.
+  Stopping,           ///< The supervisor shuts down.
 };
 
+/// The code as log lines have it, for example "peer-closed".
 const char* code(Reason reason);
 
 }  // namespace peargrade::log
--- /dev/null
+++ b/src/net/timer.cpp
@@ -0,0 +1,21 @@
+#include "net/timer.h"
+
+#include <utility>
+
+namespace peargrade::net {
+
+Timer::Timer(event_base* base, std::function<void()> fired) : fired_(std::move(fired)) {
+  const auto onTimeout = [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->fired_(); };
+  event_.reset(requireHandle(event_new(base, -1, 0, onTimeout, this)));
+}
+
+void Timer::in(Micros delay) {
+  const timeval wait = toTimeval(delay);
+  event_add(event_.get(), &wait);
+}
+
+void Timer::cancel() { event_del(event_.get()); }
+
+bool Timer::set() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0; }
+
+}  // namespace peargrade::net
