--- a/scale/collectorpart.cpp
+++ b/scale/collectorpart.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "clients/framing.h"
+#include "clients/frame_decoder.h"
 #include "scale/world.h"
 
 namespace peargrade::scale {
@@ -88,7 +88,7 @@
         body, sizeof body,
         R"({"type":"upstream_stats","az":"%s","host":"%s","n":%d,"bad":0,"avg":%.1f,"window":%.1f})",
         zoneName(zone).c_str(), server.c_str(), n, took, window);
-    frames += clients::Framing::frame(body);
+    frames += clients::encodeFrame(body);
   }
   return frames;
 }
@@ -103,7 +103,7 @@
     std::snprintf(body, sizeof body,
                   R"({"type":"range_stats","partition":%d,"kind":"%s","n":%d,"bad":0,"window":%.1f})",
                   firstSlice(scenario_, supervisor) + k, k % 2 == 0 ? "lookup" : "order", n, window);
-    frames += clients::Framing::frame(body);
+    frames += clients::encodeFrame(body);
   }
   return frames;
 }
--- a/src/clients/messages.h
+++ b/src/clients/messages.h
@@ -1,4 +1,4 @@
-// The messages that come to the supervisor's address.
+/// Messages that collectors and health checkers send to the supervisor's address, and their JSON parser.
 #pragma once
 
 #include <string>
@@ -9,13 +9,18 @@
 
 namespace peargrade::clients {
 
+/// A liveness question, by anyone on any connection. Wire: `hb`.
 struct Heartbeat {};
-struct Telemetry {  // a collector states its zone
-  int zone = 0;
+
+/// A collector states its zone; its load reports are accepted from then on. Wire: `telemetry`.
+struct CollectorJoin {
+  int zone = 0;  ///< Index into the zones of the settings.
 };
-using Message = std::variant<Heartbeat, Telemetry, ServerLoadReport, SliceLoadReport>;
 
-// One JSON object. Throws ParseError.
+using Message = std::variant<Heartbeat, CollectorJoin, ServerLoadReport, SliceLoadReport>;
+
+/// Parses the JSON object of one frame. Names become indices into `names`, milliseconds become microseconds.
+/// `slices`: number of slices in the settings. Throws ParseError with the field at fault.
 Message parseMessage(const std::string& bytes, const discovery::Names& names, int slices);
 
 }  // namespace peargrade::clients
--- a/src/supervisor/node.cpp
+++ b/src/supervisor/node.cpp
@@ -39,7 +39,7 @@
   clients::ReportServer::Limits limits;
   const int granted = std::min(descriptors, config.limits.sockets);
   limits.connections = static_cast<std::size_t>(std::max(16, granted - kOwnDescriptors));
-  limits.held = Shares(config.limits.memoryMb).messages;
+  limits.incompleteMessageBytes = Shares(config.limits.memoryMb).messages;
   return limits;
 }
 
