--- a/src/clients/connection_table.h
+++ b/src/clients/connection_table.h
@@ -18,7 +18,7 @@
   /// Removes the connection and closes its stream, if it still has one.
   void remove(Iterator connection);
 
-  /// Counts the memory of the connection's incomplete message anew.
+  /// Updates the memory accounted to the connection's incomplete message.
   void updateBufferedBytes(Iterator connection);
   /// Memory of incomplete messages over all connections, in bytes.
   std::size_t bufferedBytes() const { return bufferedBytes_; }
