--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -11,6 +11,7 @@
 #include <sstream>
 
 #include "wire/fields.h"
+#include "wire/settings_parser.h"
 
 namespace peargrade::config {
 namespace {
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,8 +1,8 @@
 #include <iostream>
 
-#include "simulator/host.h"
+#include "simulator/adapter.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
-  return peargrade::simulator::serve(std::cin, std::cout, std::cerr);
+  return peargrade::simulator::runAdapter(std::cin, std::cout, std::cerr);
 }
