--- /dev/null
+++ b/src/commands/srv_lookup_command.h
@@ -0,0 +1,18 @@
+/// `peargrade srv lookup`: one lookup of SRV records.
+#pragma once
+
+#include "commands/command.h"
+#include "sources/source_registry.h"
+
+namespace peargrade::commands {
+
+class SrvLookupCommand : public Command {
+ public:
+  explicit SrvLookupCommand(CLI::App& program);
+  int run() override;
+
+ private:
+  sources::LookupCommand arguments_;
+};
+
+}  // namespace peargrade::commands
--- /dev/null
+++ b/src/commands/version_command.h
@@ -0,0 +1,14 @@
+/// `peargrade version`.
+#pragma once
+
+#include "commands/command.h"
+
+namespace peargrade::commands {
+
+class VersionCommand : public Command {
+ public:
+  explicit VersionCommand(CLI::App& program);
+  int run() override;
+};
+
+}  // namespace peargrade::commands
