--- a/src/supervisor/supervisor_instance.cpp
+++ b/src/supervisor/supervisor_instance.cpp
@@ -33,7 +33,7 @@
   clients::ReportServer::Limits limits;
   const int granted = std::min(descriptors, config.limits.sockets);
   limits.connections = static_cast<std::size_t>(std::max(kConnectionsMin, granted - kOwnDescriptors));
-  limits.held = MemoryBudget(config.limits.memoryMb).clientMessages;
+  limits.incompleteMessageBytes = MemoryBudget(config.limits.memoryMb).clientMessages;
   return limits;
 }
 
--- a/tests/serve/configuration_test.cpp
+++ b/tests/serve/configuration_test.cpp
@@ -26,7 +26,7 @@
   }
   void expectWrongFilesIgnored(const std::string& good) {
     reload(good.substr(0, good.size() / 2));
-    ASSERT_NO_FATAL_FAILURE(awaitOutput("new configuration left out, the old one holds"));
+    ASSERT_NO_FATAL_FAILURE(awaitOutput("new configuration unreadable, keeping the one in force"));
     reload(replaced(good, "\"address\"", "\"adress\""));
     ASSERT_NO_FATAL_FAILURE(awaitOutput("relay: 'address' is missing"));
     std::remove(configFile->path.c_str());
@@ -60,7 +60,7 @@
   ASSERT_TRUE(loop.until([&] { return newDiscovery.watching() == 1 && newRelay.watches == 1; }))
       << program->output();
   ASSERT_TRUE(loop.until([this] { return discovery.watching() == 0 && relay.open() == 0; }));
-  EXPECT_TRUE(hasWritten("'limits' is taken over by a restart only")) << program->output();
+  EXPECT_TRUE(hasWritten("'limits' takes effect at a restart only")) << program->output();
   newDiscovery.set("s1", "east", "DRAINING");
   ASSERT_TRUE(loop.until([&] { return slice0LeftServer1(newRelay); })) << program->output();
 
@@ -128,12 +128,12 @@
   EXPECT_TRUE(hasWritten("configuration in force: version 5 (content ")) << program->output();
   const std::string good = versionedConfig(6, Lookups::NotIdempotent);
   const std::pair<std::string, const char*> refused[] = {
-      {good.substr(0, good.size() / 2), "refused (unreadable), version 5 "},
-      {versionedConfig(4, Lookups::NotIdempotent), "refused (stale-version), version 5 "},
-      {versionedConfig(5, Lookups::NotIdempotent), "refused (same-version), version 5 "},
-      {replaced(good, "\"shards\": 8", "\"shards\": 9"), "refused (structure), version 5 "},
+      {good.substr(0, good.size() / 2), "rejected (unreadable), keeping version 5 "},
+      {versionedConfig(4, Lookups::NotIdempotent), "rejected (stale-version), keeping version 5 "},
+      {versionedConfig(5, Lookups::NotIdempotent), "rejected (same-version), keeping version 5 "},
+      {replaced(good, "\"shards\": 8", "\"shards\": 9"), "rejected (structure), keeping version 5 "},
       {replaced(good, "\"startCapacity\": 0.2", "\"startCapacity\": 2"),
-       "refused (out-of-range), version 5 "}};
+       "rejected (out-of-range), keeping version 5 "}};
   for (const auto& [text, line] : refused) {
     reload(text);
     const char* expected = line;
--- a/tests/serve/lifecycle_test.cpp
+++ b/tests/serve/lifecycle_test.cpp
@@ -53,7 +53,7 @@
   expectDrainServed();
   stopSupervisor();
   EXPECT_TRUE(hasWritten("supervisor: stopping"));
-  for (const char* connection : {" prober ended", " news ended", " calls ended", "discovery: connection "})
+  for (const char* connection : {" health-checker ended", " watch ended", " calls ended", "discovery: connection "})
     EXPECT_TRUE(hasWritten(connection)) << "no line for" << connection << " in\n" << program->output();
 }
 
@@ -217,7 +217,7 @@
   ASSERT_TRUE(loop.until([this] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
   EXPECT_TRUE(hasWritten(" calls " + std::to_string(relay.calls.size()) + " for ")) << program->output();
-  EXPECT_TRUE(hasWritten(" 0 missed,")) << program->output();
+  EXPECT_TRUE(hasWritten(" 0 undelivered,")) << program->output();
 }
 
 // The wait for the call in flight has a bound, long before a process manager would kill the process.
