--- a/examples/demo.cpp
+++ b/examples/demo.cpp
@@ -48,7 +48,7 @@
     for (int slice = 0; slice < std::min(kSlices, config.settings.slices); ++slice)
       relay_.slices[slice] = {{kFirstPrimary[slice], "1"}};
     relay_.onOrder = [this](const std::string& command) { onCommand(command); };
-    tick_.in(0);
+    tick_.schedule(0);
   }
   int seconds() const { return seconds_; }
 
@@ -86,7 +86,7 @@
   }
 
   void tick() {
-    tick_.in(kSecond);
+    tick_.schedule(kSecond);
     ++seconds_;
     if (!collector_ || collector_->ended()) {
       collector_ = std::make_unique<peargrade::fakes::Collector>(base_, config_.listen);
--- a/fakes/dns_endpoint.cpp
+++ b/fakes/dns_endpoint.cpp
@@ -95,7 +95,7 @@
   peer->fd = fd;
   net::Stream::Handlers handlers;
   handlers.data = [this, peer](evbuffer* input) { onData(peer, input); };
-  handlers.end = [this, peer](log::Reason, const std::string&) { connections_.erase(peer); };
+  handlers.end = [this, peer](log::CloseReason, const std::string&) { connections_.erase(peer); };
   peer->stream = std::make_unique<net::Stream>(base_, fd, std::move(handlers));
 }
 
--- a/fakes/relay.cpp
+++ b/fakes/relay.cpp
@@ -41,10 +41,10 @@
 Relay::Relay(event_base* base, const std::string& host, std::uint16_t port)
     : base_(base), address_{host, port}, life_(base, [this] {
         if (lifeSigns) life();
-        life_.in(1000000);
+        life_.schedule(1000000);
       }) {
   listen();
-  life_.in(1000000);
+  life_.schedule(1000000);
 }
 
 void Relay::listen() {
@@ -72,7 +72,7 @@
   peers_.emplace_back();
   const At peer = std::prev(peers_.end());
   fds_[peer] = fd;
-  const auto gone = [this, peer](log::Reason, const std::string&) {
+  const auto gone = [this, peer](log::CloseReason, const std::string&) {
     fds_.erase(peer);
     peers_.erase(peer);
   };
--- a/src/discovery/catalog_request.cpp
+++ b/src/discovery/catalog_request.cpp
@@ -18,16 +18,16 @@
   return {static_cast<time_t>(span / kMicrosPerSecond), static_cast<suseconds_t>(span % kMicrosPerSecond)};
 }
 
-log::Reason toReason(evhttp_request_error error) {
+log::CloseReason toReason(evhttp_request_error error) {
   switch (error) {
     case EVREQ_HTTP_TIMEOUT:
-      return log::Reason::Silent;
+      return log::CloseReason::Silent;
     case EVREQ_HTTP_DATA_TOO_LONG:
-      return log::Reason::TooLong;
+      return log::CloseReason::TooLong;
     case EVREQ_HTTP_EOF:
-      return log::Reason::Reset;
+      return log::CloseReason::Reset;
     default:
-      return log::Reason::BadAnswer;
+      return log::CloseReason::BadAnswer;
   }
 }
 
@@ -51,11 +51,11 @@
 void CatalogRequest::send() {
   openConnection();
   evhttp_request* const request = makeRequest();
-  connectTimeout_.in(limits_.connectTimeout);
-  objectTimeout_.in(firstObjectTimeout_);
+  connectTimeout_.schedule(limits_.connectTimeout);
+  objectTimeout_.schedule(firstObjectTimeout_);
   // libevent frees the request, also if this fails.
   if (evhttp_make_request(connection_.get(), request, EVHTTP_REQ_GET, path().c_str()) != 0)
-    fail(log::Reason::Refused, "");
+    fail(log::CloseReason::Refused, "");
 }
 
 void CatalogRequest::close() {
@@ -78,7 +78,7 @@
       [](evbuffer* input, const evbuffer_cb_info*, void* context) {
         auto& self = *static_cast<CatalogRequest*>(context);
         if (evbuffer_get_length(input) > self.limits_.responseBytesMax + kReadAheadBytes)
-          self.fail(log::Reason::TooLong, "unbounded chunk length or trailer");
+          self.fail(log::CloseReason::TooLong, "unbounded chunk length or trailer");
       },
       this);
 }
@@ -115,7 +115,7 @@
   socklen_t size = sizeof peer;
   const evutil_socket_t socket = bufferevent_getfd(evhttp_connection_get_bufferevent(connection_.get()));
   if (socket >= 0 && getpeername(socket, reinterpret_cast<sockaddr*>(&peer), &size) == 0) return;
-  fail(log::Reason::ConnectTimeout, "");
+  fail(log::CloseReason::ConnectTimeout, "");
 }
 
 void CatalogRequest::readWatch(evhttp_request* request) {
@@ -131,10 +131,10 @@
     if (size <= 0) break;
     lines_.add(piece, static_cast<std::size_t>(size));
     while (!closed_ && lines_.next(line)) {
-      objectTimeout_.in(limits_.idleTimeout);
+      objectTimeout_.schedule(limits_.idleTimeout);
       if (!line.empty()) handlers_.object(*this, line);
     }
-    if (!closed_ && lines_.tooLong()) fail(log::Reason::TooLong, "line of the watch");
+    if (!closed_ && lines_.tooLong()) fail(log::CloseReason::TooLong, "line of the watch");
   }
 }
 
@@ -143,10 +143,10 @@
   if (closed_) return;
   const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
   if (status == 0) return fail(connectionError_, "no response");
-  if (status != HTTP_OK) return fail(log::Reason::BadAnswer, "status " + std::to_string(status));
+  if (status != HTTP_OK) return fail(log::CloseReason::BadAnswer, "status " + std::to_string(status));
   if (query_.kind == Kind::Watch) {
     readWatch(request);  // a response that is not chunked arrives here, in one piece
-    return fail(log::Reason::PeerClosed, "watch ended");
+    return fail(log::CloseReason::PeerClosed, "watch ended");
   }
   evbuffer* const body = evhttp_request_get_input_buffer(request);
   std::string json(evbuffer_get_length(body), '\0');
@@ -155,7 +155,7 @@
   if (!closed_) handlers_.polled(*this);
 }
 
-void CatalogRequest::fail(log::Reason reason, const std::string& detail) {
+void CatalogRequest::fail(log::CloseReason reason, const std::string& detail) {
   if (!closed_) handlers_.failed(*this, reason, detail);
 }
 
--- a/src/discovery/catalog_request.h
+++ b/src/discovery/catalog_request.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "discovery/limits.h"
-#include "log/reason.h"
+#include "log/close_reason.h"
 #include "net/line_splitter.h"
 #include "net/net.h"
 
@@ -42,7 +42,7 @@
     /// The next object did not arrive in time.
     std::function<void(CatalogRequest&)> timedOut;
     /// The connection failed, or the response is not one of discovery's.
-    std::function<void(CatalogRequest&, log::Reason, const std::string& detail)> failed;
+    std::function<void(CatalogRequest&, log::CloseReason, const std::string& detail)> failed;
   };
 
   /// `limits` outlives the request. `firstObjectTimeout` in microseconds: for the first line of a watch or
@@ -75,7 +75,7 @@
   void checkConnected();
   void readWatch(evhttp_request* request);
   void complete(evhttp_request* request);
-  void fail(log::Reason reason, const std::string& detail);
+  void fail(log::CloseReason reason, const std::string& detail);
 
   event_base* base_;
   const net::Address address_;
@@ -87,8 +87,8 @@
   net::LineSplitter lines_;
   std::int64_t baseVersion_;
   bool closed_ = false;
-  log::Reason connectionError_ =
-      log::Reason::Refused;  // as libevent reports it, for a request without response
+  log::CloseReason connectionError_ =
+      log::CloseReason::Refused;  // as libevent reports it, for a request without response
   std::unique_ptr<evhttp_connection, FreeConnection> connection_;
   net::IdleTimeout connectTimeout_;
   net::IdleTimeout objectTimeout_;
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -33,7 +33,7 @@
 Discovery::~Discovery() {
   dispatcher_.onEndpointListRequest(nullptr);
   for (const CatalogRequest& request : requests_) {
-    if (!request.closed()) log_.ended(kPeer, request.address().text(), log::Reason::Stopping, "");
+    if (!request.closed()) log_.ended(kPeer, request.address().text(), log::CloseReason::Stopping, "");
   }
 }
 
@@ -44,7 +44,8 @@
   reconnectTimer_.cancel();
   CatalogRequest* const current = active();
   for (CatalogRequest& request : requests_) {
-    if (&request != current) finish(request, log::Reason::Moved, "to " + address_.text(), Outcome::Completed);
+    if (&request != current)
+      finish(request, log::CloseReason::Moved, "to " + address_.text(), Outcome::Completed);
   }
   if (current != nullptr && current->kind() == RequestKind::Watch) begin(RequestKind::Watch);
 }
@@ -75,7 +76,7 @@
 void Discovery::closeWatches(const std::string& detail) {
   for (CatalogRequest& request : requests_) {
     if (request.kind() == RequestKind::Watch)
-      finish(request, log::Reason::Discarded, detail, Outcome::Completed);
+      finish(request, log::CloseReason::Discarded, detail, Outcome::Completed);
   }
 }
 
@@ -94,10 +95,10 @@
   CatalogRequest::Handlers handlers;
   handlers.object = [this](CatalogRequest& request, const std::string& json) { receive(request, json); };
   handlers.polled = [this](CatalogRequest& request) {
-    finish(request, log::Reason::Discarded, "list received", Outcome::Completed);
+    finish(request, log::CloseReason::Discarded, "list received", Outcome::Completed);
   };
   handlers.timedOut = [this](CatalogRequest& request) { handleTimeout(request); };
-  handlers.failed = [this](CatalogRequest& request, log::Reason reason, const std::string& detail) {
+  handlers.failed = [this](CatalogRequest& request, log::CloseReason reason, const std::string& detail) {
     finish(request, reason, detail, Outcome::Failed);
   };
   requests_.emplace_back(base_, address_, query, limits_, firstObjectTimeout_, std::move(handlers)).send();
@@ -116,7 +117,7 @@
     apply(request, document);
   } catch (const ParseError& error) {
     fullListNeeded_ = true;
-    finish(request, log::Reason::BadMessage, error.what(), Outcome::Failed);
+    finish(request, log::CloseReason::BadMessage, error.what(), Outcome::Failed);
   }
 }
 
@@ -124,7 +125,7 @@
   EndpointListUpdate update = parseCatalog(object, names_, kPeer);
   if (update.kind == EndpointListKind::Delta && update.version < request.baseVersion()) {
     fullListNeeded_ = true;
-    return finish(request, log::Reason::RevisionRegressed,
+    return finish(request, log::CloseReason::RevisionRegressed,
                   std::to_string(update.version) + " after " + std::to_string(request.baseVersion()),
                   Outcome::Failed);
   }
@@ -147,7 +148,7 @@
 void Discovery::retirePredecessors(const CatalogRequest& successor) {
   for (CatalogRequest& request : requests_) {
     if (&request == &successor) return;
-    finish(request, log::Reason::Moved, "to " + successor.address().text(), Outcome::Completed);
+    finish(request, log::CloseReason::Moved, "to " + successor.address().text(), Outcome::Completed);
   }
 }
 
@@ -155,18 +156,18 @@
 // a large list over a slow connection arrives at a later attempt.
 void Discovery::handleTimeout(CatalogRequest& request) {
   firstObjectTimeout_ = std::min(2 * firstObjectTimeout_, limits_.firstObjectTimeoutMax);
-  finish(request, log::Reason::Silent, "no complete line", Outcome::Failed);
+  finish(request, log::CloseReason::Silent, "no complete line", Outcome::Failed);
 }
 
-void Discovery::finish(CatalogRequest& request, log::Reason reason, const std::string& detail,
+void Discovery::finish(CatalogRequest& request, log::CloseReason reason, const std::string& detail,
                        Outcome outcome) {
   if (request.closed()) return;
   const bool isSuccessor = &request != active();
   request.close();
   log_.ended(kPeer, request.address().text(), reason, detail);
-  destroyTimer_.in(0);  // libevent may be in a callback of this request
+  destroyTimer_.schedule(0);  // libevent may be in a callback of this request
   if (outcome == Outcome::Completed) return;
-  if (isSuccessor) return reconnectTimer_.in(reconnectBackoff_.next());
+  if (isSuccessor) return reconnectTimer_.schedule(reconnectBackoff_.next());
   if (active() != nullptr) return;  // its successor takes over
   reconnectTimer_.cancel();
   dispatcher_.post(EndpointListUpdate{EndpointListKind::Failed, 0, {}});
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -60,7 +60,7 @@
   void handleTimeout(CatalogRequest& request);
   /// Closes the request and logs why. After a failure of the active one without a successor the decision
   /// module is notified; a successor that failed is tried again after a backoff.
-  void finish(CatalogRequest& request, log::Reason reason, const std::string& detail, Outcome outcome);
+  void finish(CatalogRequest& request, log::CloseReason reason, const std::string& detail, Outcome outcome);
   void destroyClosed();
 
   event_base* base_;
--- a/src/relay/call_connection.cpp
+++ b/src/relay/call_connection.cpp
@@ -24,12 +24,12 @@
       calls_(limits.pendingCommandsMax),
       backoff_(limits.reconnectDelayMin, limits.reconnectDelayMax, seed),
       retryTimer_(base, [this] { sendNextCall(); }),
-      replyTimeout_(base, [this] { end(log::Reason::NoAnswer, "call not answered"); }) {
+      replyTimeout_(base, [this] { end(log::CloseReason::NoAnswer, "call not answered"); }) {
   calls_.onAccepted(handlers_.accepted);
 }
 
 CallConnection::~CallConnection() {
-  if (stream_) logEnd(log::Reason::Stopping, "");
+  if (stream_) logEnd(log::CloseReason::Stopping, "");
 }
 
 void CallConnection::send(Commands update) {
@@ -51,12 +51,13 @@
   streamHasReplied_ = false;
   stream_ = std::make_unique<net::Stream>(
       base_, address_, limits_.connectTimeout,
-      net::Stream::Handlers{[this] { sendNextCall(); }, [this](evbuffer* input) { onData(input); },
-                            [this](log::Reason reason, const std::string& detail) { end(reason, detail); }});
+      net::Stream::Handlers{
+          [this] { sendNextCall(); }, [this](evbuffer* input) { onData(input); },
+          [this](log::CloseReason reason, const std::string& detail) { end(reason, detail); }});
 }
 
 void CallConnection::sendNextCall() {
-  if (!calls_.needsConnection() || retryTimer_.set()) return;
+  if (!calls_.needsConnection() || retryTimer_.isScheduled()) return;
   if (!stream_) return connect();
   if (!stream_->up()) return;
   // A failure is reported only once the relay can be reached again: the engine then decides with the state of
@@ -67,7 +68,7 @@
   handlers_.sent(calls_.inFlight());
   if (log_.shows(log::Level::Debug)) log_.debug("relay") << call.substr(0, call.size() - kLineEndBytes);
   stream_->send(call);
-  replyTimeout_.in(limits_.replyTimeout);
+  replyTimeout_.schedule(limits_.replyTimeout);
 }
 
 // A call written to a connection that the relay has just closed would have an unknown outcome, and a second
@@ -77,10 +78,10 @@
   if (waiting == net::Stream::Waiting::Nothing) return false;
   stream_.reset();
   if (waiting == net::Stream::Waiting::Bytes)
-    logEnd(log::Reason::BadAnswer, "answer to no call");
+    logEnd(log::CloseReason::BadAnswer, "answer to no call");
   else
-    logEnd(log::Reason::IdleClosed, "");
-  retryTimer_.in(streamHasReplied_ ? 0 : backoff_.next());
+    logEnd(log::CloseReason::IdleClosed, "");
+  retryTimer_.schedule(streamHasReplied_ ? 0 : backoff_.next());
   return true;
 }
 
@@ -89,7 +90,7 @@
   const net::Address* const watchAddress = handlers_.watchAddress();
   if (watchAddress == nullptr || streamAddress_.text() == watchAddress->text()) return;
   stream_.reset();
-  logEnd(log::Reason::Moved, "to " + watchAddress->text());
+  logEnd(log::CloseReason::Moved, "to " + watchAddress->text());
   sendNextCall();
 }
 
@@ -101,14 +102,14 @@
   while (replies_.next(line)) {
     if (!onReply(line)) return;
   }
-  if (replies_.tooLong()) return end(log::Reason::TooLong, "reply");
+  if (replies_.tooLong()) return end(log::CloseReason::TooLong, "reply");
   leaveFormerAddress();
   sendNextCall();
 }
 
 bool CallConnection::onReply(const std::string& line) {
   if (!calls_.awaitingReply()) {
-    end(log::Reason::BadAnswer, "answer to no call");
+    end(log::CloseReason::BadAnswer, "answer to no call");
     return false;
   }
   replyTimeout_.cancel();
@@ -127,7 +128,7 @@
       log_.warn("relay") << "relay rejected command twice; dropping it: " << calls_.rejectedCommand();
       return true;
     case CallResult::Throttled:
-      retryTimer_.in(limits_.throttledDelay);
+      retryTimer_.schedule(limits_.throttledDelay);
       return true;
     case CallResult::Invalid:
       log_.error("relay") << "relay rejected calls as 'invalid' repeatedly; dropping the update; it began: "
@@ -135,27 +136,27 @@
       reportDelivery();
       return true;
     case CallResult::Malformed:
-      end(log::Reason::BadAnswer, quoted);
+      end(log::CloseReason::BadAnswer, quoted);
       return false;
   }
   return true;
 }
 
-void CallConnection::end(log::Reason reason, const std::string& detail) {
+void CallConnection::end(log::CloseReason reason, const std::string& detail) {
   if (!stream_) return;
   const bool wasUp = stream_->up();
   const bool outcomeUnknown = calls_.awaitingReply();
   stream_.reset();
   replyTimeout_.cancel();
-  if (reason == log::Reason::PeerClosed && !outcomeUnknown) reason = log::Reason::IdleClosed;
+  if (reason == log::CloseReason::PeerClosed && !outcomeUnknown) reason = log::CloseReason::IdleClosed;
   calls_.onConnectionLost();
   logEnd(reason, outcomeUnknown ? detail + " call outcome unknown" : detail);
   if (!calls_.needsConnection()) return;
-  if (wasUp && reason == log::Reason::IdleClosed) return sendNextCall();
-  retryTimer_.in(backoff_.next());
+  if (wasUp && reason == log::CloseReason::IdleClosed) return sendNextCall();
+  retryTimer_.schedule(backoff_.next());
 }
 
-void CallConnection::logEnd(log::Reason reason, const std::string& detail) {
+void CallConnection::logEnd(log::CloseReason reason, const std::string& detail) {
   log_.ended("relay", streamAddress_.text() + " calls", reason, detail);
 }
 
--- a/src/relay/call_connection.h
+++ b/src/relay/call_connection.h
@@ -56,8 +56,8 @@
   void onData(evbuffer* input);
   /// Whether the connection is still there.
   bool onReply(const std::string& line);
-  void end(log::Reason reason, const std::string& detail);
-  void logEnd(log::Reason reason, const std::string& detail);
+  void end(log::CloseReason reason, const std::string& detail);
+  void logEnd(log::CloseReason reason, const std::string& detail);
 
   event_base* const base_;
   net::Address address_;
--- a/src/relay/event_batch.cpp
+++ b/src/relay/event_batch.cpp
@@ -15,8 +15,8 @@
   if (events_.empty()) startedAt_ = now;
   std::move(events.begin(), events.end(), std::back_inserter(events_));
   if (continuation == Continuation::MoreMayFollow) {
-    flushTimer_.in(std::min(delay_, startedAt_ + delayMax_ - now));
-  } else if (!flushTimer_.set()) {
+    flushTimer_.schedule(std::min(delay_, startedAt_ + delayMax_ - now));
+  } else if (!flushTimer_.isScheduled()) {
     flush();
   }
 }
--- a/src/relay/watch_connection.cpp
+++ b/src/relay/watch_connection.cpp
@@ -25,22 +25,23 @@
 }
 
 WatchConnection::~WatchConnection() {
-  if (open_) logEnd(*open_, log::Reason::Stopping, "");
-  if (pending_) logEnd(*pending_, log::Reason::Stopping, "");
+  if (open_) logEnd(*open_, log::CloseReason::Stopping, "");
+  if (pending_) logEnd(*pending_, log::CloseReason::Stopping, "");
 }
 
 WatchConnection::Watch::Watch(WatchConnection& owner, const net::Address& at)
     : address(at),
       lines(owner.limits_.lineBytesMax),
-      idleTimeout(owner.base_, [this, &owner] { owner.end(*this, log::Reason::Silent, "no sign of life"); }),
+      idleTimeout(owner.base_,
+                  [this, &owner] { owner.end(*this, log::CloseReason::Silent, "no sign of life"); }),
       stream(std::make_unique<net::Stream>(
           owner.base_, at, owner.limits_.connectTimeout,
           net::Stream::Handlers{[this] { stream->send("WATCH\r\n"); },
                                 [this, &owner](evbuffer* input) { owner.onData(*this, input); },
-                                [this, &owner](log::Reason reason, const std::string& detail) {
+                                [this, &owner](log::CloseReason reason, const std::string& detail) {
                                   owner.end(*this, reason, detail);
                                 }})) {
-  idleTimeout.in(owner.limits_.watchIdleTimeout);
+  idleTimeout.schedule(owner.limits_.watchIdleTimeout);
 }
 
 void WatchConnection::connect() { pending_ = std::make_unique<Watch>(*this, address_); }
@@ -50,7 +51,7 @@
   address_ = address;
   backoff_.reset();
   reconnectTimer_.cancel();
-  if (pending_) logEnd(*pending_, log::Reason::Moved, "to " + address_.text());
+  if (pending_) logEnd(*pending_, log::CloseReason::Moved, "to " + address_.text());
   connect();
 }
 
@@ -62,20 +63,20 @@
   watch.lines.add(bytes.data(), bytes.size());
   std::string line;
   while (watch.lines.next(line)) {
-    watch.idleTimeout.in(limits_.watchIdleTimeout);  // only complete lines are signs of life
+    watch.idleTimeout.schedule(limits_.watchIdleTimeout);  // only complete lines are signs of life
     const bool isOpen = &watch == open_.get();
     const bool goesOn = isOpen ? onLine(watch, line) : onReply(watch, line);
     if (!goesOn) return;
   }
-  if (watch.lines.tooLong()) end(watch, log::Reason::TooLong, "line of a watch");
+  if (watch.lines.tooLong()) end(watch, log::CloseReason::TooLong, "line of a watch");
 }
 
 bool WatchConnection::onReply(Watch& watch, const std::string& line) {
   if (line.compare(0, 2, "OK") != 0) {
-    end(watch, log::Reason::BadAnswer, "to WATCH: " + line.substr(0, kQuotedReplyMax));
+    end(watch, log::CloseReason::BadAnswer, "to WATCH: " + line.substr(0, kQuotedReplyMax));
     return false;
   }
-  if (open_) logEnd(*open_, log::Reason::Moved, "to " + watch.address.text());
+  if (open_) logEnd(*open_, log::CloseReason::Moved, "to " + watch.address.text());
   open_ = std::move(pending_);
   openedAt_ = net::steadyNow();
   handlers_.opened();
@@ -87,22 +88,22 @@
     handlers_.line(line);
     return true;
   } catch (const ParseError& error) {
-    end(watch, log::Reason::BadMessage, error.what());
+    end(watch, log::CloseReason::BadMessage, error.what());
     return false;
   }
 }
 
-void WatchConnection::end(Watch& watch, log::Reason reason, const std::string& detail) {
+void WatchConnection::end(Watch& watch, log::CloseReason reason, const std::string& detail) {
   handlers_.ending();
   logEnd(watch, reason, detail);
   const bool wasPending = &watch == pending_.get();
   retired_ = std::move(wasPending ? pending_ : open_);
   retired_->idleTimeout.cancel();
   retired_->stream.reset();
-  if (!pending_) reconnectTimer_.in(backoff_.next());
+  if (!pending_) reconnectTimer_.schedule(backoff_.next());
 }
 
-void WatchConnection::logEnd(const Watch& watch, log::Reason reason, const std::string& detail) {
+void WatchConnection::logEnd(const Watch& watch, log::CloseReason reason, const std::string& detail) {
   log_.ended("relay", watch.address.text() + " watch", reason, detail);
 }
 
--- a/src/relay/watch_connection.h
+++ b/src/relay/watch_connection.h
@@ -55,8 +55,8 @@
   /// Both return whether the watch is still there.
   bool onReply(Watch& watch, const std::string& line);
   bool onLine(Watch& watch, const std::string& line);
-  void end(Watch& watch, log::Reason reason, const std::string& detail);
-  void logEnd(const Watch& watch, log::Reason reason, const std::string& detail);
+  void end(Watch& watch, log::CloseReason reason, const std::string& detail);
+  void logEnd(const Watch& watch, log::CloseReason reason, const std::string& detail);
 
   event_base* const base_;
   net::Address address_;
--- a/src/supervisor/config_reload.cpp
+++ b/src/supervisor/config_reload.cpp
@@ -59,7 +59,7 @@
     return;
   }
   state_ = State::RetryPending;
-  retryTimer_.in(retryDelay_);
+  retryTimer_.schedule(retryDelay_);
   retryDelay_ *= 2;
 }
 
@@ -68,8 +68,9 @@
     log_.error("supervisor") << "new configuration unreadable, keeping the one in force: " << problem;
     return;
   }
-  log_.error("supervisor") << "new configuration rejected (" << config::codeOf(config::RejectionCode::Unreadable)
-                           << "), keeping " << config::describeVersion(inForce_) << ": " << problem;
+  log_.error("supervisor") << "new configuration rejected ("
+                           << config::codeOf(config::RejectionCode::Unreadable) << "), keeping "
+                           << config::describeVersion(inForce_) << ": " << problem;
 }
 
 bool ConfigReload::rejects(const config::Config& next) {
--- a/src/supervisor/serve.cpp
+++ b/src/supervisor/serve.cpp
@@ -39,7 +39,7 @@
   net::Timer deadlineTimer(base, [] {});
   instance.turn();
   while (instance.busy() && clock.now() < deadline) {
-    deadlineTimer.in(deadline - clock.now());
+    deadlineTimer.schedule(deadline - clock.now());
     event_base_loop(base, EVLOOP_ONCE);
   }
 }
--- a/src/supervisor/supervisor_instance.cpp
+++ b/src/supervisor/supervisor_instance.cpp
@@ -75,15 +75,15 @@
   if (makeSources) openSources(base, op, makeSources);
   log_.info("supervisor") << config_.name << " serves at " << config_.listen.text() << ", "
                           << config_.cachedList.endpoints.size() << " servers known";
-  readinessTimer_.in(kReadinessTimeout);
+  readinessTimer_.schedule(kReadinessTimeout);
   dispatcher_.post(config_.cachedList);
 }
 
 // With sources the list of discovery goes to them, and they post the merged one.
 void SupervisorInstance::openSources(event_base* base, const op::Operator* op,
                                      const MakeSources& makeSources) {
-  sources_ = makeSources({base, op, &config_.names, &config_.cachedList, &config_.cachedAddresses, &dispatcher_,
-                          &log_, [this] { return clock_.now(); }});
+  sources_ = makeSources({base, op, &config_.names, &config_.cachedList, &config_.cachedAddresses,
+                          &dispatcher_, &log_, [this] { return clock_.now(); }});
   if (!discovery_) return;
   discovery_->setListener(
       [this](const EndpointListUpdate& update, const std::vector<std::string>& endpoints) {
@@ -112,7 +112,7 @@
 
 void SupervisorInstance::scheduleNextTurn() {
   turnTimerFired_ = false;
-  if (const auto nextTimer = engine_.nextTimer()) turnTimer_.in(*nextTimer - clock_.now());
+  if (const auto nextTimer = engine_.nextTimer()) turnTimer_.schedule(*nextTimer - clock_.now());
 }
 
 void SupervisorInstance::reload() {
--- a/tests/support/loop.h
+++ b/tests/support/loop.h
@@ -34,7 +34,7 @@
     const Micros end = net::steadyNow() + limit;
     while (!holds()) {
       if (net::steadyNow() > end) return false;
-      tick.in(kCheckInterval);
+      tick.schedule(kCheckInterval);
       event_base_loop(base.get(), EVLOOP_ONCE);
     }
     return true;
