--- a/examples/demo.cpp
+++ b/examples/demo.cpp
@@ -29,7 +29,7 @@
                                  "s-green", "s-green", "s-blue", "s-blue"};
     for (int t = 0; t < std::min(8, config.settings.slices); ++t) relay_.slices[t] = {{homes[t], "1"}};
     relay_.onOrder = [this](const std::string& order) { onOrder(order); };
-    second_.in(0);
+    second_.schedule(0);
   }
   int seconds() const { return now_; }
 
@@ -60,7 +60,7 @@
   }
 
   void second() {
-    second_.in(1000000);
+    second_.schedule(1000000);
     ++now_;
     if (!collector_ || collector_->ended()) {
       collector_ = std::make_unique<peargrade::fakes::Collector>(base_, config_.listen);
--- a/fakes/collector.cpp
+++ b/fakes/collector.cpp
@@ -19,7 +19,7 @@
       input_.erase(0, 4 + length);
     }
   };
-  handlers.end = [this](log::Reason, const std::string&) { stream_.reset(); };
+  handlers.end = [this](log::CloseReason, const std::string&) { stream_.reset(); };
   stream_ = std::make_unique<net::Stream>(base, to, 1000000, std::move(handlers));
 }
 
--- a/fakes/discovery.cpp
+++ b/fakes/discovery.cpp
@@ -21,7 +21,7 @@
 Discovery::Discovery(event_base* base, const std::string& host, std::uint16_t port)
     : address_{host, port}, http_(evhttp_new(base)), empty_(base, [this] {
         if (emptyLines) raw("\n");
-        empty_.in(2000000);
+        empty_.schedule(2000000);
       }) {
   evhttp_set_gencb(http_.get(), onRequest, this);
   evhttp_set_bevcb(http_.get(), onAccept, this);
@@ -36,7 +36,7 @@
   socklen_t size = sizeof at;
   getsockname(evhttp_bound_socket_get_fd(socket), reinterpret_cast<sockaddr*>(&at), &size);
   address_.port = ntohs(at.sin_port);
-  empty_.in(2000000);
+  empty_.schedule(2000000);
 }
 
 void Discovery::set(const std::string& uid, const std::string& az, const std::string& state,
--- a/fakes/nameserver.cpp
+++ b/fakes/nameserver.cpp
@@ -116,7 +116,7 @@
       const auto peer = std::prev(server->peers_.end());
       peer->fd = fd;
       const auto data = [server, peer](evbuffer* input) { server->onStream(peer, input); };
-      const auto gone = [server, peer](log::Reason, const std::string&) { server->peers_.erase(peer); };
+      const auto gone = [server, peer](log::CloseReason, const std::string&) { server->peers_.erase(peer); };
       peer->stream =
           std::make_unique<net::Stream>(server->base_, fd, net::Stream::Handlers{nullptr, data, gone});
     };
--- a/fakes/primary.cpp
+++ b/fakes/primary.cpp
@@ -36,7 +36,7 @@
       peer->fd = fd;
       net::Stream::Handlers handlers;
       handlers.data = [primary, peer](evbuffer* input) { primary->onStream(peer, input); };
-      handlers.end = [primary, peer](log::Reason, const std::string&) { primary->peers_.erase(peer); };
+      handlers.end = [primary, peer](log::CloseReason, const std::string&) { primary->peers_.erase(peer); };
       peer->stream = std::make_unique<net::Stream>(primary->base_, fd, std::move(handlers));
     };
     listener_.reset(evconnlistener_new_bind(base_, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
--- a/fakes/relay.cpp
+++ b/fakes/relay.cpp
@@ -31,10 +31,10 @@
 Relay::Relay(event_base* base, const std::string& host, std::uint16_t port)
     : base_(base), address_{host, port}, life_(base, [this] {
         if (lifeSigns) life();
-        life_.in(1000000);
+        life_.schedule(1000000);
       }) {
   listen();
-  life_.in(1000000);
+  life_.schedule(1000000);
 }
 
 void Relay::listen() {
@@ -62,7 +62,7 @@
   peers_.emplace_back();
   const At peer = std::prev(peers_.end());
   fds_[peer] = fd;
-  const auto gone = [this, peer](log::Reason, const std::string&) {
+  const auto gone = [this, peer](log::CloseReason, const std::string&) {
     fds_.erase(peer);
     peers_.erase(peer);
   };
--- a/scale/collectorpart.cpp
+++ b/scale/collectorpart.cpp
@@ -24,7 +24,7 @@
       tick_(base, [this] { tick(); }) {
   for (Target& target : targets_) target.links.resize(static_cast<std::size_t>(scenario.sizes.zones));
   periodFrom_ = net::steadyNow();
-  tick_.in(kTick);
+  tick_.schedule(kTick);
 }
 
 void CollectorPart::dial(Target& target, int zone) {
@@ -39,7 +39,7 @@
 // As many targets as the time since the period began covers; a period that all have had gives way to the
 // next.
 void CollectorPart::tick() {
-  tick_.in(kTick);
+  tick_.schedule(kTick);
   const Micros now = net::steadyNow();
   if (next_ >= targets_.size()) {
     if (now - periodFrom_ < scenario_.reportsEvery) return;
--- a/scale/discoverypart.cpp
+++ b/scale/discoverypart.cpp
@@ -20,11 +20,11 @@
       draining_(static_cast<std::size_t>(scenario.sizes.servers)),
       changes_(base, [this] {
         change(1);
-        changes_.in(static_cast<Micros>(60e6 / scenario_.changesPerMinute));
+        changes_.schedule(static_cast<Micros>(60e6 / scenario_.changesPerMinute));
       }) {
   for (int server = 0; server < scenario.sizes.servers; ++server) tell(server, false);
   second_.onWatch = [this] { movedAt_.push_back(static_cast<double>(net::steadyNow())); };
-  if (scenario.changesPerMinute > 0) changes_.in(static_cast<Micros>(60e6 / scenario.changesPerMinute));
+  if (scenario.changesPerMinute > 0) changes_.schedule(static_cast<Micros>(60e6 / scenario.changesPerMinute));
 }
 
 void DiscoveryPart::tell(int server, bool draining) {
--- a/scale/part.cpp
+++ b/scale/part.cpp
@@ -100,7 +100,7 @@
                               lines.add(bytes.data(), bytes.size());
                               for (std::string line; lines.next(line);) onLine(line);
                             },
-                            [&](log::Reason, const std::string&) { over = true; }});
+                            [&](log::CloseReason, const std::string&) { over = true; }});
   while (!over) {
     if (part) part->turn();
     event_base_loop(base.get(), EVLOOP_ONCE | (part && part->waiting() ? EVLOOP_NONBLOCK : 0));
--- a/scale/relaypart.cpp
+++ b/scale/relaypart.cpp
@@ -82,7 +82,7 @@
     : scenario_(scenario), tick_(base, [this] {
         onDue();
         look();
-        tick_.in(kTick);
+        tick_.schedule(kTick);
       }) {
   const Sizes& sizes = scenario.sizes;
   for (int number = 0; number < sizes.supervisors; ++number) {
@@ -102,7 +102,7 @@
     const auto at = static_cast<std::size_t>(number);
     stores_.back().relay->onCall = [this, at](const std::string& orders) { onCall(at, orders); };
   }
-  tick_.in(kTick);
+  tick_.schedule(kTick);
 }
 
 void RelayPart::onCall(std::size_t number, const std::string& orders) {
--- a/src/clients/lingering_closer.cpp
+++ b/src/clients/lingering_closer.cpp
@@ -14,7 +14,7 @@
     entry->inputBytesLeft -= std::min(entry->inputBytesLeft, size);
     if (entry->inputBytesLeft == 0) streams_.erase(entry);
   };
-  handlers.end = [this, entry](log::Reason, const std::string&) { streams_.erase(entry); };
+  handlers.end = [this, entry](log::CloseReason, const std::string&) { streams_.erase(entry); };
   entry->stream->setHandlers(std::move(handlers));
 }
 
--- a/src/clients/report_server.cpp
+++ b/src/clients/report_server.cpp
@@ -37,11 +37,11 @@
     for (Iterator next = connections_.begin(); next != connections_.end();) answerHeartbeats(next++);
   });
   sweptAt_ = clock_();
-  sweepTimer_.in(limits_.sweepInterval);
+  sweepTimer_.schedule(limits_.sweepInterval);
 }
 
 ReportServer::~ReportServer() {
-  while (!connections_.empty()) end(connections_.begin(), log::Reason::Stopping, "");
+  while (!connections_.empty()) end(connections_.begin(), log::CloseReason::Stopping, "");
 }
 
 void ReportServer::accept(evutil_socket_t socket, const std::string& peer) {
@@ -51,7 +51,7 @@
   const Iterator connection = connections_.add(peer, clock_());
   net::Stream::Handlers handlers;
   handlers.data = [this, connection](evbuffer* input) { onData(connection, input); };
-  handlers.end = [this, connection](log::Reason reason, const std::string& detail) {
+  handlers.end = [this, connection](log::CloseReason reason, const std::string& detail) {
     end(connection, reason, detail);
   };
   connection->stream = std::make_unique<net::Stream>(base_, socket, std::move(handlers));
@@ -61,9 +61,9 @@
   const Iterator evicted = connections_.evictionCandidate();
   const char* const detail = "too many connections";
   if (evicted->role == Role::Unidentified)
-    reject(evicted, log::Reason::ConnectionLimit, detail);
+    reject(evicted, log::CloseReason::ConnectionLimit, detail);
   else
-    end(evicted, log::Reason::ConnectionLimit, detail);
+    end(evicted, log::CloseReason::ConnectionLimit, detail);
 }
 
 void ReportServer::onData(Iterator connection, evbuffer* input) {
@@ -90,10 +90,10 @@
   connections_.updateBufferedBytes(connection);
   const std::size_t length = decoder.announcedLength();
   if (result == FrameDecoder::Result::TooLong)
-    return reject(connection, log::Reason::BadLength, "message of " + std::to_string(length) + " bytes");
+    return reject(connection, log::CloseReason::BadLength, "message of " + std::to_string(length) + " bytes");
   // Joins and heartbeats are short. Long messages of peers that have not joined would only take memory.
   if (connection->role != Role::Collector && length > limits_.messageBytesBeforeJoin)
-    return reject(connection, log::Reason::BadLength,
+    return reject(connection, log::CloseReason::BadLength,
                   "message of " + std::to_string(length) + " bytes before joining");
   if (!decoder.hasPartialFrame())
     connection->messageStartedAt = 0;
@@ -107,7 +107,7 @@
   while (connections_.bufferedBytes() > limits_.incompleteMessageBytes) {
     const Iterator largest = connections_.largestBuffer();
     const bool isCurrent = largest == current;
-    end(largest, log::Reason::ConnectionLimit, "incomplete messages exceed the memory limit");
+    end(largest, log::CloseReason::ConnectionLimit, "incomplete messages exceed the memory limit");
     if (isCurrent) return;
   }
 }
@@ -125,7 +125,7 @@
     connection->malformedFrames = isJson ? 0 : connection->malformedFrames + 1;
     const bool framingLost = connection->malformedFrames >= limits_.consecutiveMalformedFrames;
     if (connection->role != Role::Collector || framingLost)
-      return reject(connection, log::Reason::BadMessage, error.what());
+      return reject(connection, log::CloseReason::BadMessage, error.what());
     discards_.record(connection->peer, error.what(), clock_());
   }
   return Status::Open;
@@ -139,7 +139,7 @@
     return Status::Open;
   }
   if (connection->role != Role::Collector)
-    return reject(connection, log::Reason::NotJoined, "load report before joining");
+    return reject(connection, log::CloseReason::NotJoined, "load report before joining");
   if (const auto* report = std::get_if<ServerLoadReport>(&message)) dispatcher_.post(*report);
   if (const auto* report = std::get_if<SliceLoadReport>(&message)) dispatcher_.post(*report);
   return Status::Open;
@@ -160,7 +160,7 @@
   if (connections_.count(Role::HealthChecker) <= limit) return Status::Open;
   const Iterator oldest = connections_.oldest(Role::HealthChecker);
   const bool isNewest = oldest == newest;
-  end(oldest, log::Reason::ConnectionLimit, "too many health checkers");
+  end(oldest, log::CloseReason::ConnectionLimit, "too many health checkers");
   return isNewest ? Status::Closed : Status::Open;
 }
 
@@ -170,24 +170,26 @@
   for (; connection->pendingHeartbeats > 0; --connection->pendingHeartbeats)
     connection->stream->send(kHeartbeatReply);
   if (connection->stream->unsent() <= limits_.unsentReplyBytes) return Status::Open;
-  return end(connection, log::Reason::SlowReader, "peer does not read replies");
+  return end(connection, log::CloseReason::SlowReader, "peer does not read replies");
 }
 
-ReportServer::Status ReportServer::reject(Iterator connection, log::Reason reason,
+ReportServer::Status ReportServer::reject(Iterator connection, log::CloseReason reason,
                                           const std::string& detail) {
   std::unique_ptr<net::Stream> lingeringStream;
   // The protocol forbids writing to a collector.
   if (connection->role != Role::Collector) {
     connection->stream->send(kRejection);
     const bool allSent = connection->stream->halfClose();
-    if (allSent && reason != log::Reason::ConnectionLimit) lingeringStream = std::move(connection->stream);
+    if (allSent && reason != log::CloseReason::ConnectionLimit)
+      lingeringStream = std::move(connection->stream);
   }
   end(connection, reason, detail.substr(0, kLoggedDetailMax));
   if (lingeringStream) lingering_.add(std::move(lingeringStream), clock_());
   return Status::Closed;
 }
 
-ReportServer::Status ReportServer::end(Iterator connection, log::Reason reason, const std::string& detail) {
+ReportServer::Status ReportServer::end(Iterator connection, log::CloseReason reason,
+                                       const std::string& detail) {
   log_.ended("clients", connection->peer + " " + roleName(connection->role), reason, detail);
   connections_.remove(connection);
   return Status::Closed;
@@ -195,7 +197,7 @@
 
 void ReportServer::sweep() {
   const Micros now = clock_();
-  sweepTimer_.in(limits_.sweepInterval);
+  sweepTimer_.schedule(limits_.sweepInterval);
   lingering_.closeExpired(now);
   // After a pause of this process, input that arrived meanwhile is read before ages count.
   const Micros sinceLastSweep = now - std::exchange(sweptAt_, now);
@@ -207,13 +209,14 @@
   const Micros age = now - connection->acceptedAt;
   const bool hasIncompleteMessage = connection->messageStartedAt > 0;
   if (connection->role == Role::Unidentified && age > limits_.unidentifiedAge)
-    reject(connection, hasIncompleteMessage ? log::Reason::IncompleteMessage : log::Reason::Unidentified, "");
+    reject(connection,
+           hasIncompleteMessage ? log::CloseReason::IncompleteMessage : log::CloseReason::Unidentified, "");
   else if (connection->role == Role::HealthChecker && age > limits_.healthCheckerAge)
-    end(connection, log::Reason::HeartbeatsOnly, "");
+    end(connection, log::CloseReason::HeartbeatsOnly, "");
   else if (hasIncompleteMessage && now - connection->messageStartedAt > limits_.messageDuration)
-    reject(connection, log::Reason::IncompleteMessage, "message not completed in time");
+    reject(connection, log::CloseReason::IncompleteMessage, "message not completed in time");
   else if (connection->role == Role::Collector && now - connection->lastActivity > limits_.collectorSilence)
-    end(connection, log::Reason::Silent, "");
+    end(connection, log::CloseReason::Silent, "");
 }
 
 }  // namespace peargrade::clients
--- a/src/clients/report_server.h
+++ b/src/clients/report_server.h
@@ -64,9 +64,9 @@
   void enforceAgeLimits(Iterator connection, Micros now);
 
   /// Sends a rejection if the peer may receive one, then ends the connection.
-  Status reject(Iterator connection, log::Reason reason, const std::string& detail);
+  Status reject(Iterator connection, log::CloseReason reason, const std::string& detail);
   /// Logs the end and closes.
-  Status end(Iterator connection, log::Reason reason, const std::string& detail);
+  Status end(Iterator connection, log::CloseReason reason, const std::string& detail);
 
   event_base* base_;
   const discovery::Names& names_;
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -43,7 +43,7 @@
 Discovery::~Discovery() {
   dispatcher_.onEndpointListRequest(nullptr);
   for (const Call& call : calls_) {
-    if (!call.over) log_.ended("discovery", call.to.text(), log::Reason::Stopping, "");
+    if (!call.over) log_.ended("discovery", call.to.text(), log::CloseReason::Stopping, "");
   }
 }
 
@@ -64,7 +64,7 @@
   watchNext_ = kind != Kind::Unwatch;
   for (Call& call : calls_) {
     if (call.kind == Kind::Watch)
-      finish(call, log::Reason::Discarded, kind == Kind::Unwatch ? "watch ended" : "asked anew", false);
+      finish(call, log::CloseReason::Discarded, kind == Kind::Unwatch ? "watch ended" : "asked anew", false);
   }
 }
 
@@ -77,7 +77,7 @@
   redial_.cancel();
   Call* const now = serving();
   for (Call& call : calls_) {
-    if (!call.over && &call != now) finish(call, log::Reason::Moved, "to " + address_.text(), false);
+    if (!call.over && &call != now) finish(call, log::CloseReason::Moved, "to " + address_.text(), false);
   }
   if (now != nullptr && now->kind == Kind::Watch) begin(Kind::Watch);
 }
@@ -100,7 +100,7 @@
       [](evbuffer* input, const evbuffer_cb_info*, void* c) {
         Call& call = *static_cast<Call*>(c);
         if (evbuffer_get_length(input) > call.owner.limits_.body + kAhead)
-          call.owner.finish(call, log::Reason::TooLong, "bytes without an end", true);
+          call.owner.finish(call, log::CloseReason::TooLong, "bytes without an end", true);
       },
       &call);
   evhttp_request* request = evhttp_request_new(
@@ -113,18 +113,18 @@
     });
   }
   evhttp_request_set_error_cb(request, [](evhttp_request_error error, void* c) {
-    static_cast<Call*>(c)->error = error == EVREQ_HTTP_TIMEOUT         ? log::Reason::Silent
-                                   : error == EVREQ_HTTP_DATA_TOO_LONG ? log::Reason::TooLong
-                                   : error == EVREQ_HTTP_EOF           ? log::Reason::Reset
-                                                                       : log::Reason::BadAnswer;
+    static_cast<Call*>(c)->error = error == EVREQ_HTTP_TIMEOUT         ? log::CloseReason::Silent
+                                   : error == EVREQ_HTTP_DATA_TOO_LONG ? log::CloseReason::TooLong
+                                   : error == EVREQ_HTTP_EOF           ? log::CloseReason::Reset
+                                                                       : log::CloseReason::BadAnswer;
   });
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", call.to.text().c_str());
   std::string path = kPath;
   if (kind == Kind::Watch) path += "?follow=1" + (whole_ ? "" : "&since=" + std::to_string(version_));
-  call.connecting.in(limits_.connect);
-  call.whole.in(patience_);
+  call.connecting.schedule(limits_.connect);
+  call.whole.schedule(patience_);
   if (evhttp_make_request(call.connection.get(), request, EVHTTP_REQ_GET, path.c_str()) != 0)
-    finish(call, log::Reason::Refused, "", true);  // libevent has freed the request
+    finish(call, log::CloseReason::Refused, "", true);  // libevent has freed the request
 }
 
 // Guards against an address that takes nothing in and refuses nothing: the time of a silence is too long for
@@ -134,7 +134,7 @@
   socklen_t size = sizeof peer;
   const evutil_socket_t fd = bufferevent_getfd(evhttp_connection_get_bufferevent(call.connection.get()));
   if (call.over || (fd >= 0 && getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) == 0)) return;
-  finish(call, log::Reason::ConnectTimeout, "", true);
+  finish(call, log::CloseReason::ConnectTimeout, "", true);
 }
 
 // Guards against a peer that is neither silent nor says anything: the limit of libevent is on single bytes.
@@ -142,7 +142,7 @@
   if (call.over) return;
   // A list over a slow way would else never be heard.
   patience_ = std::min(2 * patience_, limits_.slowest);
-  finish(call, log::Reason::Silent, "no whole line", true);
+  finish(call, log::CloseReason::Silent, "no whole line", true);
 }
 
 void Discovery::onChunk(Call& call, evhttp_request* request) {
@@ -158,10 +158,11 @@
     if (size <= 0) break;
     call.lines.add(piece, static_cast<std::size_t>(size));
     while (!call.over && call.lines.next(line)) {
-      call.whole.in(limits_.silence);
+      call.whole.schedule(limits_.silence);
       if (!line.empty()) take(call, line);
     }
-    if (!call.over && call.lines.tooLong()) finish(call, log::Reason::TooLong, "line of the watch", true);
+    if (!call.over && call.lines.tooLong())
+      finish(call, log::CloseReason::TooLong, "line of the watch", true);
   }
 }
 
@@ -173,13 +174,13 @@
     // What is older than what was told cannot build on it: the whole list is asked for.
     if (news.kind == EndpointListKind::Delta && news.version < call.version) {
       whole_ = true;
-      return finish(call, log::Reason::RevisionRegressed,
+      return finish(call, log::CloseReason::RevisionRegressed,
                     std::to_string(news.version) + " after " + std::to_string(call.version), true);
     }
     // A successor has told: it serves from now on.
     for (Call& other : calls_) {
       if (&other == &call) break;
-      if (!other.over) finish(other, log::Reason::Moved, "to " + call.to.text(), false);
+      if (!other.over) finish(other, log::CloseReason::Moved, "to " + call.to.text(), false);
     }
     backoff_.reset();
     patience_ = limits_.silence;
@@ -195,7 +196,7 @@
     dispatcher_.post(std::move(news));
   } catch (const ParseError& e) {
     whole_ = true;
-    finish(call, log::Reason::BadMessage, e.what(), true);
+    finish(call, log::CloseReason::BadMessage, e.what(), true);
   }
 }
 
@@ -205,29 +206,29 @@
   const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
   if (status == 0) return finish(call, call.error, "no answer", true);
   if (status != HTTP_OK)
-    return finish(call, log::Reason::BadAnswer, "status " + std::to_string(status), true);
+    return finish(call, log::CloseReason::BadAnswer, "status " + std::to_string(status), true);
   if (call.kind == Kind::Watch) {
     onChunk(call, request);  // an answer that was not chunked comes whole
-    if (!call.over) finish(call, log::Reason::PeerClosed, "watch ended", true);
+    if (!call.over) finish(call, log::CloseReason::PeerClosed, "watch ended", true);
     return;
   }
   evbuffer* body = evhttp_request_get_input_buffer(request);
   std::string bytes(evbuffer_get_length(body), '\0');
   evbuffer_copyout(body, bytes.data(), bytes.size());
   take(call, bytes);
-  if (!call.over) finish(call, log::Reason::Discarded, "list received", false);
+  if (!call.over) finish(call, log::CloseReason::Discarded, "list received", false);
 }
 
-void Discovery::finish(Call& call, log::Reason reason, const std::string& detail, bool failed) {
+void Discovery::finish(Call& call, log::CloseReason reason, const std::string& detail, bool failed) {
   if (call.over) return;
   const bool successor = &call != serving();
   call.over = true;
   call.connecting.cancel();
   call.whole.cancel();
   log_.ended("discovery", call.to.text(), reason, detail);
-  cleaner_.in(0);
+  cleaner_.schedule(0);
   if (!failed || (!successor && serving() != nullptr)) return;  // the successor goes on in its place
-  if (successor) return redial_.in(backoff_.next());
+  if (successor) return redial_.schedule(backoff_.next());
   redial_.cancel();
   dispatcher_.post(EndpointListUpdate{EndpointListKind::Failed, 0, {}});
 }
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -51,9 +51,9 @@
     const Kind kind;
     const net::Address to;
     net::LineSplitter lines;
-    std::int64_t version;                      // that its objects build on
-    bool over = false;                         // waits only to be cleaned up
-    log::Reason error = log::Reason::Refused;  // what libevent says of a call without an answer
+    std::int64_t version;                                // that its objects build on
+    bool over = false;                                   // waits only to be cleaned up
+    log::CloseReason error = log::CloseReason::Refused;  // what libevent says of a call without an answer
     std::unique_ptr<evhttp_connection, ConnectionFree> connection;
     net::IdleTimeout connecting, whole;  // whole: a line of the watch, the answer to a fetch
   };
@@ -68,7 +68,7 @@
   void take(Call& call, const std::string& line);
   // Ends a call once libevent is out of its callbacks, with one Failed event if asked for and nothing else
   // serves.
-  void finish(Call& call, log::Reason reason, const std::string& detail, bool failed);
+  void finish(Call& call, log::CloseReason reason, const std::string& detail, bool failed);
   void cleanUp();
 
   event_base* base_;
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -27,7 +27,7 @@
       }) {}
 
 Resolver::~Resolver() {
-  for (auto& [question, active] : active_) closeTransport(*active, log::Reason::Stopping, "");
+  for (auto& [question, active] : active_) closeTransport(*active, log::CloseReason::Stopping, "");
 }
 
 Result Resolver::failedResult(const Question& question, Verdict verdict) {
@@ -71,7 +71,7 @@
   Active& active = *owned;
   active.waiting.push_back(std::move(told));
   active_[question] = std::move(owned);
-  active.whole.in(settings_.lookupFor);
+  active.whole.schedule(settings_.lookupFor);
   carryOut(active, active.query->begin(clock_()));
 }
 
@@ -93,7 +93,7 @@
 
 // Each step has a socket, a port and an id of its own.
 void Resolver::carryOut(Active& active, const Query::Step& step) {
-  closeTransport(active, log::Reason::Discarded, "");
+  closeTransport(active, log::CloseReason::Discarded, "");
   active.step = step;
   active.id = static_cast<std::uint16_t>(random_());
   switch (step.what) {
@@ -112,7 +112,7 @@
   handlers.failed = [this, &active](const std::string&) { onFailed(active, "refused"); };
   active.udp = std::make_unique<net::Datagram>(base_, settings_.servers[active.step.server], random_,
                                                std::move(handlers));
-  active.wait.in(active.step.wait);
+  active.wait.schedule(active.step.wait);
   // What cannot be sent is taken for lost: the wait bounds it and keeps this from going round in the
   // callback.
   active.udp->send(encode(active.question, active.id, active.step.edns ? settings_.payload : 0));
@@ -128,13 +128,13 @@
     active.tcp->send(length + body);
   };
   handlers.data = [this, &active](evbuffer* input) { onTcpData(active, input); };
-  handlers.end = [this, &active](log::Reason reason, const std::string& detail) {
+  handlers.end = [this, &active](log::CloseReason reason, const std::string& detail) {
     closeTransport(active, reason, detail);
     onFailed(active, log::code(reason));
   };
   active.tcp = std::make_unique<net::Stream>(base_, settings_.servers[active.step.server], active.step.wait,
                                              std::move(handlers));
-  active.wait.in(active.step.wait);
+  active.wait.schedule(active.step.wait);
 }
 
 // Two bytes of length before the message (RFC 1035, section 4.2.2), in any pieces (RFC 7766, section 8).
@@ -169,18 +169,18 @@
 }
 
 void Resolver::onTimeout(Active& active) {
-  closeTransport(active, log::Reason::NoAnswer, "");
+  closeTransport(active, log::CloseReason::NoAnswer, "");
   onFailed(active, "timeout");
 }
 
 // The whole lookup has its bound, whatever each step may still take.
 void Resolver::onTooLong(Active& active) {
-  closeTransport(active, log::Reason::NoAnswer, "");
+  closeTransport(active, log::CloseReason::NoAnswer, "");
   active.query->failed(clock_(), "lookup timeout");
   onDone(active);
 }
 
-void Resolver::closeTransport(Active& active, log::Reason reason, const std::string& detail) {
+void Resolver::closeTransport(Active& active, log::CloseReason reason, const std::string& detail) {
   active.wait.cancel();
   active.udp.reset();
   if (!active.tcp) return;
@@ -245,12 +245,12 @@
 
 // Who is told may ask anew at once.
 void Resolver::finish(Active& active, const Result& result) {
-  closeTransport(active, log::Reason::Discarded, "");
+  closeTransport(active, log::CloseReason::Discarded, "");
   active.whole.cancel();
   auto node = active_.extract(active.asked);
   const std::vector<Told> waiting = std::move(active.waiting);
   over_.push_back(std::move(node.mapped()));
-  cleaner_.in(0);
+  cleaner_.schedule(0);
   for (const Told& told : waiting) told(result);
 }
 
--- a/src/dns/resolver.h
+++ b/src/dns/resolver.h
@@ -77,7 +77,7 @@
   void onFailed(Active& active, const char* why);
   void onTimeout(Active& active);
   void onTooLong(Active& active);
-  void closeTransport(Active& active, log::Reason reason, const std::string& detail);
+  void closeTransport(Active& active, log::CloseReason reason, const std::string& detail);
   void onDone(Active& active);
   void finish(Active& active, const Result& result);
   void next();
--- a/src/log/reason.h
+++ b/src/log/close_reason.h
@@ -5,7 +5,7 @@
 
 /// The reason that a connection's one log line states. docs/oncall.md lists the codes with what an operator
 /// does.
-enum class Reason {
+enum class CloseReason {
   PeerClosed,         ///< The peer closed in order.
   Reset,              ///< The peer or the network broke the connection.
   Refused,            ///< The connection attempt was refused.
@@ -30,6 +30,6 @@
 };
 
 /// The code as log lines have it, for example "peer-closed".
-const char* code(Reason reason);
+const char* code(CloseReason reason);
 
 }  // namespace peargrade::log
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -57,7 +57,7 @@
 
 Log::~Log() { flush(); }
 
-void Log::ended(const char* part, const std::string& peer, Reason reason, const std::string& detail) {
+void Log::ended(const char* part, const std::string& peer, CloseReason reason, const std::string& detail) {
   Line text = info(part);
   text << "connection " << peer << " ended code=" << code(reason);
   if (!detail.empty()) text << " (" << detail << ")";
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -7,7 +7,7 @@
 #include <sstream>
 #include <string>
 
-#include "log/reason.h"
+#include "log/close_reason.h"
 
 namespace peargrade::log {
 
@@ -59,7 +59,7 @@
 
   /// Writes the line that every connection leaves when it ends. `peer`: its address and role. `detail`: may
   /// be empty.
-  void ended(const char* part, const std::string& peer, Reason reason, const std::string& detail);
+  void ended(const char* part, const std::string& peer, CloseReason reason, const std::string& detail);
 
   /// Writes what the reader takes without waiting. Called by the loop after each turn.
   void flush();
--- a/src/net/idle_timeout.cpp
+++ b/src/net/idle_timeout.cpp
@@ -12,9 +12,9 @@
 IdleTimeout::IdleTimeout(event_base* base, std::function<void()> expired)
     : expired_(std::move(expired)), timer_(base, [this] { onTimer(); }) {}
 
-void IdleTimeout::in(Micros duration) {
+void IdleTimeout::schedule(Micros duration) {
   inGracePeriod_ = false;
-  timer_.in(duration);
+  timer_.schedule(duration);
 }
 
 void IdleTimeout::onTimer() {
@@ -23,7 +23,7 @@
     return;
   }
   inGracePeriod_ = true;
-  timer_.in(kGracePeriod);
+  timer_.schedule(kGracePeriod);
 }
 
 }  // namespace peargrade::net
--- a/src/net/idle_timeout.h
+++ b/src/net/idle_timeout.h
@@ -15,7 +15,7 @@
 
   /// Expires after `duration` microseconds from now, in place of an earlier schedule. The owner calls it on
   /// input.
-  void in(Micros duration);
+  void schedule(Micros duration);
   void cancel() { timer_.cancel(); }
 
  private:
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -44,7 +44,7 @@
 // Without the bound, libevent accepts all queued connections in one turn.
 void Listener::onAccept(evconnlistener* handle, evutil_socket_t socket, sockaddr* from, int, void* self) {
   auto* listener = static_cast<Listener*>(self);
-  if (listener->acceptedThisTurn_ == 0) listener->nextTurn_.in(0);
+  if (listener->acceptedThisTurn_ == 0) listener->nextTurn_.schedule(0);
   ++listener->acceptedThisTurn_;
   if (listener->acceptedThisTurn_ >= listener->acceptsPerTurn_) evconnlistener_disable(handle);
   listener->handlers_.accepted(socket, peerName(from));
@@ -55,12 +55,12 @@
   const std::string error = std::strerror(EVUTIL_SOCKET_ERROR());
   listener->handlers_.failed(error);
   evconnlistener_disable(handle);
-  listener->pauseAfterError_.in(kPauseAfterError);
+  listener->pauseAfterError_.schedule(kPauseAfterError);
 }
 
 void Listener::startTurn() {
   acceptedThisTurn_ = 0;
-  if (!pauseAfterError_.set()) resume();
+  if (!pauseAfterError_.isScheduled()) resume();
 }
 
 void Listener::resume() { evconnlistener_enable(listener_.get()); }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -91,11 +91,11 @@
   bufferevent_disable(buffer, EV_READ | EV_WRITE);
   if (!handlers->end) return;
   if ((events & BEV_EVENT_TIMEOUT) != 0)
-    handlers->end(log::Reason::ConnectTimeout, "");
+    handlers->end(log::CloseReason::ConnectTimeout, "");
   else if ((events & BEV_EVENT_EOF) != 0)
-    handlers->end(log::Reason::PeerClosed, "");
+    handlers->end(log::CloseReason::PeerClosed, "");
   else
-    handlers->end(connecting ? log::Reason::Refused : log::Reason::Reset, std::strerror(error));
+    handlers->end(connecting ? log::CloseReason::Refused : log::CloseReason::Reset, std::strerror(error));
 }
 
 }  // namespace peargrade::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "log/reason.h"
+#include "log/close_reason.h"
 #include "net/address.h"
 #include "net/handles.h"
 
@@ -21,7 +21,7 @@
     /// Input has arrived. The handler drains what it uses.
     std::function<void(evbuffer*)> data;
     /// The connection has ended, with a detail for the log. Called at most once, as the last callback.
-    std::function<void(log::Reason, const std::string&)> end;
+    std::function<void(log::CloseReason, const std::string&)> end;
   };
   /// Connects to `to`; fails with ConnectTimeout after `connectTimeout` microseconds.
   Stream(event_base* base, const Address& to, Micros connectTimeout, Handlers handlers);
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -9,13 +9,13 @@
   event_.reset(requireHandle(event_new(base, -1, 0, onTimeout, this)));
 }
 
-void Timer::in(Micros delay) {
+void Timer::schedule(Micros delay) {
   const timeval wait = toTimeval(delay);
   event_add(event_.get(), &wait);
 }
 
 void Timer::cancel() { event_del(event_.get()); }
 
-bool Timer::set() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0; }
+bool Timer::isScheduled() const { return event_pending(event_.get(), EV_TIMEOUT, nullptr) != 0; }
 
 }  // namespace peargrade::net
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -16,10 +16,10 @@
   Timer& operator=(const Timer&) = delete;
 
   /// Fires after `delay` microseconds, in place of an earlier schedule.
-  void in(Micros delay);
+  void schedule(Micros delay);
   void cancel();
   /// Whether it is scheduled and has not fired yet.
-  bool set() const;
+  bool isScheduled() const;
 
  private:
   std::function<void()> fired_;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -22,7 +22,7 @@
       calls_(limits.orders),
       callBackoff_(limits.redialLeast, limits.redialMost, seed + 1),
       callRedial_(base, [this] { push(); }),
-      answerLimit_(base, [this] { endCalls(log::Reason::NoAnswer, "call not answered"); }) {
+      answerLimit_(base, [this] { endCalls(log::CloseReason::NoAnswer, "call not answered"); }) {
   calls_.onTaken([this](const Order& order) { book_.taken(order); });
   dispatcher_.onTableUpdate([this](const dispatch::Dispatcher::TableUpdate& actions) { order(actions); });
   dialNews();
@@ -31,9 +31,9 @@
 Relay::~Relay() {
   dispatcher_.onTableUpdate(nullptr);
   for (const auto* watch : {news_.get(), coming_.get()}) {
-    if (watch != nullptr) log_.ended("relay", watch->at.text() + " news", log::Reason::Stopping, "");
+    if (watch != nullptr) log_.ended("relay", watch->at.text() + " news", log::CloseReason::Stopping, "");
   }
-  if (line_) log_.ended("relay", lineAt_.text() + " calls", log::Reason::Stopping, "");
+  if (line_) log_.ended("relay", lineAt_.text() + " calls", log::CloseReason::Stopping, "");
 }
 
 // ---- News ----
@@ -41,15 +41,16 @@
 Relay::Watch::Watch(Relay& owner, const net::Address& at)
     : at(at),
       lines(owner.limits_.line),
-      silence(owner.base_, [this, &owner] { owner.endNews(*this, log::Reason::Silent, "no sign of life"); }),
+      silence(owner.base_,
+              [this, &owner] { owner.endNews(*this, log::CloseReason::Silent, "no sign of life"); }),
       stream(std::make_unique<net::Stream>(
           owner.base_, at, owner.limits_.connect,
           net::Stream::Handlers{[this] { stream->send("WATCH\r\n"); },
                                 [this, &owner](evbuffer* input) { owner.onNews(*this, input); },
-                                [this, &owner](log::Reason reason, const std::string& detail) {
+                                [this, &owner](log::CloseReason reason, const std::string& detail) {
                                   owner.endNews(*this, reason, detail);
                                 }})) {
-  silence.in(owner.limits_.newsSilence);
+  silence.schedule(owner.limits_.newsSilence);
 }
 
 void Relay::dialNews() { coming_ = std::make_unique<Watch>(*this, address_); }
@@ -59,7 +60,8 @@
   address_ = address;
   newsBackoff_.reset();
   newsRedial_.cancel();
-  if (coming_) log_.ended("relay", coming_->at.text() + " news", log::Reason::Moved, "to " + address_.text());
+  if (coming_)
+    log_.ended("relay", coming_->at.text() + " news", log::CloseReason::Moved, "to " + address_.text());
   dialNews();
 }
 
@@ -69,19 +71,20 @@
   watch.lines.add(bytes.data(), bytes.size());
   std::string line;
   while (watch.lines.next(line)) {
-    watch.silence.in(limits_.newsSilence);  // bytes that end no line are no sign of life
+    watch.silence.schedule(limits_.newsSilence);  // bytes that end no line are no sign of life
     if (!(&watch == coming_.get() ? onNewsOpen(watch, line) : onNewsLine(watch, line))) return;
   }
-  if (watch.lines.tooLong()) endNews(watch, log::Reason::TooLong, "line of news");
+  if (watch.lines.tooLong()) endNews(watch, log::CloseReason::TooLong, "line of news");
 }
 
 // WATCH is answered: these news serve from now on, and what served at a former address ends.
 bool Relay::onNewsOpen(Watch& watch, const std::string& line) {
   if (line.compare(0, 2, "OK") != 0) {
-    endNews(watch, log::Reason::BadAnswer, "to WATCH: " + line.substr(0, 80));
+    endNews(watch, log::CloseReason::BadAnswer, "to WATCH: " + line.substr(0, 80));
     return false;
   }
-  if (news_) log_.ended("relay", news_->at.text() + " news", log::Reason::Moved, "to " + watch.at.text());
+  if (news_)
+    log_.ended("relay", news_->at.text() + " news", log::CloseReason::Moved, "to " + watch.at.text());
   handOn();
   news_ = std::move(coming_);
   openedAt_ = net::steadyNow();
@@ -118,8 +121,8 @@
     const Micros now = net::steadyNow();
     if (before == 0) heldSince_ = now;
     if (part)
-      gather_.in(std::min(limits_.gather, heldSince_ + limits_.gatherMost - now));
-    else if (!gather_.set())
+      gather_.schedule(std::min(limits_.gather, heldSince_ + limits_.gatherMost - now));
+    else if (!gather_.isScheduled())
       handOn();
     return true;
   } catch (const ParseError& e) {
@@ -131,7 +134,7 @@
         log_.warn("relay") << unusable_ << " answers to marks left out; the last: " << e.what();
       return true;
     }
-    endNews(watch, log::Reason::BadMessage, e.what());
+    endNews(watch, log::CloseReason::BadMessage, e.what());
     return false;
   }
 }
@@ -142,14 +145,14 @@
   held_.clear();
 }
 
-void Relay::endNews(Watch& watch, log::Reason reason, const std::string& detail) {
+void Relay::endNews(Watch& watch, log::CloseReason reason, const std::string& detail) {
   handOn();
   log_.ended("relay", watch.at.text() + " news", reason, detail);
   // It may be the limit of this watch that calls: its memory goes with the next one that ends.
   gone_ = std::move(&watch == coming_.get() ? coming_ : news_);
   gone_->silence.cancel();
   gone_->stream.reset();
-  if (!coming_) newsRedial_.in(newsBackoff_.next());
+  if (!coming_) newsRedial_.schedule(newsBackoff_.next());
 }
 
 // ---- Calls ----
@@ -174,15 +177,16 @@
 
 // Sends the next call if there is one and nothing is in its way; dials first where needed.
 void Relay::push() {
-  if (!calls_.wants() || callRedial_.set()) return;
+  if (!calls_.wants() || callRedial_.isScheduled()) return;
   if (!line_) {
     answers_ = net::LineSplitter(limits_.line);
     lineAt_ = address_;
     lineServed_ = false;
     line_ = std::make_unique<net::Stream>(
         base_, address_, limits_.connect,
-        net::Stream::Handlers{[this] { push(); }, [this](evbuffer* input) { onAnswer(input); },
-                              [this](log::Reason r, const std::string& detail) { endCalls(r, detail); }});
+        net::Stream::Handlers{
+            [this] { push(); }, [this](evbuffer* input) { onAnswer(input); },
+            [this](log::CloseReason r, const std::string& detail) { endCalls(r, detail); }});
     return;
   }
   if (!line_->up()) return;
@@ -193,16 +197,16 @@
   if (waiting != net::Stream::Waiting::Nothing) {
     line_.reset();
     if (waiting == net::Stream::Waiting::Bytes)
-      log_.ended("relay", lineAt_.text() + " calls", log::Reason::BadAnswer, "answer to no call");
+      log_.ended("relay", lineAt_.text() + " calls", log::CloseReason::BadAnswer, "answer to no call");
     else
-      log_.ended("relay", lineAt_.text() + " calls", log::Reason::IdleClosed, "");
-    return callRedial_.in(lineServed_ ? 0 : callBackoff_.next());
+      log_.ended("relay", lineAt_.text() + " calls", log::CloseReason::IdleClosed, "");
+    return callRedial_.schedule(lineServed_ ? 0 : callBackoff_.next());
   }
   const std::string call = calls_.begin();
   book_.sent(calls_.flight());
   if (log_.shows(log::Level::Debug)) log_.debug("relay") << call.substr(0, call.size() - 2);
   line_->send(call);
-  answerLimit_.in(limits_.answer);
+  answerLimit_.schedule(limits_.answer);
 }
 
 // After a move: the connection at the former address is left once its call, if there is one, has been
@@ -210,7 +214,7 @@
 void Relay::leaveLine() {
   if (!line_ || calls_.inCall() || !news_ || lineAt_.text() == news_->at.text()) return;
   line_.reset();
-  log_.ended("relay", lineAt_.text() + " calls", log::Reason::Moved, "to " + news_->at.text());
+  log_.ended("relay", lineAt_.text() + " calls", log::CloseReason::Moved, "to " + news_->at.text());
   push();
 }
 
@@ -220,7 +224,7 @@
   answers_.add(bytes.data(), bytes.size());
   std::string line;
   while (answers_.next(line)) {
-    if (!calls_.inCall()) return endCalls(log::Reason::BadAnswer, "answer to no call");
+    if (!calls_.inCall()) return endCalls(log::CloseReason::BadAnswer, "answer to no call");
     answerLimit_.cancel();
     lineServed_ = true;
     if (log_.shows(log::Level::Debug)) log_.debug("relay") << "answer " << line.substr(0, 80);
@@ -236,7 +240,7 @@
         log_.warn("relay") << "order not taken, left out: " << calls_.skipped();
         break;
       case Calls::Outcome::Throttled:
-        callRedial_.in(limits_.throttled);
+        callRedial_.schedule(limits_.throttled);
         break;
       case Calls::Outcome::Invalid:
         log_.error("relay") << "call answered 'invalid' again and again, dropped; it began: "
@@ -244,26 +248,26 @@
         tell();
         break;
       case Calls::Outcome::Unreadable:
-        return endCalls(log::Reason::BadAnswer, line.substr(0, 80));
+        return endCalls(log::CloseReason::BadAnswer, line.substr(0, 80));
     }
   }
-  if (answers_.tooLong()) return endCalls(log::Reason::TooLong, "answer");
+  if (answers_.tooLong()) return endCalls(log::CloseReason::TooLong, "answer");
   leaveLine();
   push();
 }
 
-void Relay::endCalls(log::Reason reason, const std::string& detail) {
+void Relay::endCalls(log::CloseReason reason, const std::string& detail) {
   if (!line_) return;
   const bool wasUp = line_->up();
   line_.reset();
   answerLimit_.cancel();
-  if (reason == log::Reason::PeerClosed && !calls_.inCall()) reason = log::Reason::IdleClosed;
+  if (reason == log::CloseReason::PeerClosed && !calls_.inCall()) reason = log::CloseReason::IdleClosed;
   const bool doubt = calls_.inCall();
   calls_.broken();
   log_.ended("relay", lineAt_.text() + " calls", reason, doubt ? detail + " call in doubt" : detail);
   if (!calls_.wants()) return;
-  if (wasUp && reason == log::Reason::IdleClosed) return push();
-  callRedial_.in(callBackoff_.next());
+  if (wasUp && reason == log::CloseReason::IdleClosed) return push();
+  callRedial_.schedule(callBackoff_.next());
 }
 
 }  // namespace peargrade::relay
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -51,7 +51,7 @@
   void onNews(Watch& watch, evbuffer* input);
   bool onNewsLine(Watch& watch, const std::string& line);  // false: the watch is gone
   bool onNewsOpen(Watch& watch, const std::string& line);
-  void endNews(Watch& watch, log::Reason reason, const std::string& detail);
+  void endNews(Watch& watch, log::CloseReason reason, const std::string& detail);
   void handOn();
 
   void order(const dispatch::Dispatcher::TableUpdate& actions);
@@ -59,7 +59,7 @@
   void push();
   void onAnswer(evbuffer* input);
   void leaveLine();
-  void endCalls(log::Reason reason, const std::string& detail);
+  void endCalls(log::CloseReason reason, const std::string& detail);
 
   event_base* base_;
   net::Address address_;
--- a/src/sources/commands.cpp
+++ b/src/sources/commands.cpp
@@ -116,7 +116,7 @@
 bool until(event_base* base, Micros within, const std::function<bool()>& holds) {
   bool over = false;
   net::Timer limit(base, [&over] { over = true; });
-  limit.in(within);
+  limit.schedule(within);
   while (!holds() && !over) event_base_loop(base, EVLOOP_ONCE);
   return holds();
 }
--- a/src/sources/sources.cpp
+++ b/src/sources/sources.cpp
@@ -51,7 +51,7 @@
   std::size_t number = 0;
   for (const op::Srv& srv : around_.op->srv) {
     watches_.emplace_back(*this, number++, srv);
-    watches_.back().again.in(0);
+    watches_.back().again.schedule(0);
     labels_.push_back("srv " + srv.label);
   }
   if (!around_.op->zones.empty()) worker_ = std::make_unique<zone_server::Worker>(around_.base);
@@ -128,7 +128,7 @@
   settle();
   const double chance = static_cast<double>(random_()) / 4294967296.0;
   const Micros soonest = membership_.confirming() ? around_.op->merge.confirmWithin / kConfirmParts : 0;
-  watch.again.in(watch.schedule.after(service, now, chance, soonest));
+  watch.again.schedule(watch.schedule.after(service, now, chance, soonest));
 }
 
 void Sources::roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) {
@@ -155,7 +155,7 @@
     around_.exchange->post(std::move(news->list));
   }
   if (const auto due = membership_.due())
-    turn_.in(*due - now);
+    turn_.schedule(*due - now);
   else
     turn_.cancel();
 }
--- a/src/sources/sources.h
+++ b/src/sources/sources.h
@@ -51,7 +51,7 @@
   void look(Watch& watch);
   void took(Watch& watch, const dns::Service& service);
   void observe(const membership::Observation& o);
-  void settleSoon() { turn_.in(0); }
+  void settleSoon() { turn_.schedule(0); }
   void settle();
 
   const Dependencies around_;
--- a/src/supervisor/node.cpp
+++ b/src/supervisor/node.cpp
@@ -92,7 +92,7 @@
   }
   log_.info("supervisor") << config_.name << " serves at " << config_.listen.text() << ", "
                           << config_.known.endpoints.size() << " servers known";
-  readyAtLast_.in(kReadyAtLast);
+  readyAtLast_.schedule(kReadyAtLast);
   dispatcher_.post(config_.known);
 }
 
@@ -111,7 +111,7 @@
 // The loop's timer may pass a little before the module's is due: it is set again then.
 void Node::wakeAtNext() {
   woken_ = false;
-  if (const auto next = supervisor_.nextTimer()) wake_.in(*next - clock_.now());
+  if (const auto next = supervisor_.nextTimer()) wake_.schedule(*next - clock_.now());
 }
 
 void Node::reload() {
--- a/src/supervisor/reload.cpp
+++ b/src/supervisor/reload.cpp
@@ -78,7 +78,7 @@
   else if (wait_ == kFirstWait)
     log_.error("supervisor") << "new configuration left out, the old one holds: " << what;
   if (wait_ > kLongestWait) return log_.warn("supervisor") << "new configuration given up", void();
-  again_.in(wait_);
+  again_.schedule(wait_);
   wait_ *= 2;
 }
 
--- a/src/supervisor/serve.cpp
+++ b/src/supervisor/serve.cpp
@@ -47,7 +47,7 @@
   net::Timer wake(base.get(), [] {});
   node.turn();
   while (node.busy() && clock.now() < end) {
-    wake.in(end - clock.now());
+    wake.schedule(end - clock.now());
     event_base_loop(base.get(), EVLOOP_ONCE);
   }
   const auto& counts = node.calls();
--- a/src/zone_server/commands.cpp
+++ b/src/zone_server/commands.cpp
@@ -164,7 +164,7 @@
 
  private:
   void send() {
-    again_.in(wait_);
+    again_.schedule(wait_);
     wait_ *= 2;
     if (!tcp_) {
       if (!udp_) {
@@ -270,7 +270,7 @@
   Asking asking(base.get(), *server, update->bytes, asked.tcp);
   bool over = false;
   net::Timer limit(base.get(), [&over] { over = true; });
-  limit.in(asked.within);
+  limit.schedule(asked.within);
   std::optional<dns_zone::Message> answer;
   std::string doubt;
   while (!over && !answer) {
--- a/src/zone_server/listener.cpp
+++ b/src/zone_server/listener.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 Listener::Peer::Peer(Listener& owner, std::uint64_t number)
-    : number(number), idle(owner.base_, [this, &owner] { owner.end(*this, log::Reason::Silent, ""); }) {}
+    : number(number), idle(owner.base_, [this, &owner] { owner.end(*this, log::CloseReason::Silent, ""); }) {}
 
 Listener::Listener(event_base* base, const net::Address& at, Taken taken, log::Log& log, Limits limits)
     : base_(base), address_(at), taken_(std::move(taken)), log_(log), limits_(limits), cleaner_(base, [this] {
@@ -52,7 +52,7 @@
 
 Listener::~Listener() {
   for (auto& [number, peer] : peers_) {
-    if (!peer->over) log_.ended("zones", peer->name, log::Reason::Stopping, "");
+    if (!peer->over) log_.ended("zones", peer->name, log::CloseReason::Stopping, "");
   }
   readable_.reset();
   close(udp_);
@@ -85,7 +85,7 @@
     for (auto& [number, peer] : peers_) {
       if (!peer->over && (oldest == nullptr || number < oldest->number)) oldest = peer.get();
     }
-    if (oldest != nullptr) end(*oldest, log::Reason::ConnectionLimit, "");
+    if (oldest != nullptr) end(*oldest, log::CloseReason::ConnectionLimit, "");
   }
   const std::uint64_t number = next_++;
   auto owned = std::make_unique<Peer>(*this, number);
@@ -93,9 +93,11 @@
   peer.name = name;
   net::Stream::Handlers handlers;
   handlers.data = [this, &peer](evbuffer* input) { onData(peer, input); };
-  handlers.end = [this, &peer](log::Reason reason, const std::string& detail) { end(peer, reason, detail); };
+  handlers.end = [this, &peer](log::CloseReason reason, const std::string& detail) {
+    end(peer, reason, detail);
+  };
   peer.stream = std::make_unique<net::Stream>(base_, fd, std::move(handlers));
-  peer.idle.in(limits_.idle);
+  peer.idle.schedule(limits_.idle);
   peers_[number] = std::move(owned);
 }
 
@@ -109,7 +111,7 @@
     if (peer.input.size() < 2 + due) return;
     const std::string message = peer.input.substr(2, due);
     peer.input.erase(0, 2 + due);
-    peer.idle.in(limits_.idle);
+    peer.idle.schedule(limits_.idle);
     const std::weak_ptr<bool> alive = alive_;
     taken_(message, peer.name, [this, alive, number = peer.number](const std::string& bytes) {
       if (!alive.expired()) answer(number, bytes);
@@ -121,18 +123,19 @@
   const auto at = peers_.find(number);
   if (at == peers_.end() || at->second->over || bytes.empty()) return;
   Peer& peer = *at->second;
-  if (peer.stream->unsent() + bytes.size() > limits_.unsent) return end(peer, log::Reason::SlowReader, "");
+  if (peer.stream->unsent() + bytes.size() > limits_.unsent)
+    return end(peer, log::CloseReason::SlowReader, "");
   peer.stream->send(std::string{static_cast<char>(bytes.size() >> 8), static_cast<char>(bytes.size() & 255)} +
                     bytes);
 }
 
-void Listener::end(Peer& peer, log::Reason reason, const std::string& detail) {
+void Listener::end(Peer& peer, log::CloseReason reason, const std::string& detail) {
   if (peer.over) return;
   peer.over = true;
   peer.idle.cancel();
   peer.stream.reset();
   log_.ended("zones", peer.name, reason, detail);
-  cleaner_.in(0);
+  cleaner_.schedule(0);
 }
 
 }  // namespace peargrade::zone_server
--- a/src/zone_server/listener.h
+++ b/src/zone_server/listener.h
@@ -46,7 +46,7 @@
   void accept(evutil_socket_t fd, const std::string& name);
   void onData(Peer& peer, evbuffer* input);
   void answer(std::uint64_t number, const std::string& bytes);
-  void end(Peer& peer, log::Reason reason, const std::string& detail);
+  void end(Peer& peer, log::CloseReason reason, const std::string& detail);
 
   event_base* base_;
   net::Address address_;
--- a/src/zone_server/transfer_client.cpp
+++ b/src/zone_server/transfer_client.cpp
@@ -34,15 +34,15 @@
       due_(base, [this] { carryOut(secondary_.due(clock_())); }),
       wait_(base,
             [this] {
-              close(log::Reason::Silent);
+              close(log::CloseReason::Silent);
               failed("no answer");
             }),
       whole_(base, [this] {
-        close(log::Reason::NoAnswer);
+        close(log::CloseReason::NoAnswer);
         failed("it took too long");
       }) {}
 
-TransferClient::~TransferClient() { close(log::Reason::Stopping); }
+TransferClient::~TransferClient() { close(log::CloseReason::Stopping); }
 
 void TransferClient::begin(Micros freshAt) {
   const dns_zone::Zone* held = handlers_.held();
@@ -65,7 +65,7 @@
   due_.cancel();
   switch (step.what) {
     case dns_zone::Secondary::Step::Do::Wait:
-      return due_.in(step.at - clock_());
+      return due_.schedule(step.at - clock_());
     case dns_zone::Secondary::Step::Do::AskSoa:
       return askSoa();
     case dns_zone::Secondary::Step::Do::Transfer:
@@ -79,7 +79,7 @@
   net::Datagram::Handlers handlers;
   handlers.data = [this](const std::string& bytes) { onSoa(bytes); };
   handlers.failed = [this](const std::string& why) {
-    close(log::Reason::Refused);
+    close(log::CloseReason::Refused);
     failed(why);
   };
   udp_ = std::make_unique<net::Datagram>(base_, primaries_[step_.primary], drawn, std::move(handlers));
@@ -88,7 +88,7 @@
   m.hasQuestion = true;
   m.name = origin_;
   m.type = static_cast<std::uint16_t>(dns_zone::Type::SOA);
-  wait_.in(limits_.soa);
+  wait_.schedule(limits_.soa);
   udp_->send(dns_zone::encodeMessage(m));
 }
 
@@ -96,7 +96,7 @@
   const auto m = dns_zone::decodeMessage(bytes);
   // Not the answer: the wait for that goes on.
   if (!m || !m->response || m->id != id_ || !m->hasQuestion || m->name != origin_) return;
-  close(log::Reason::Discarded);
+  close(log::CloseReason::Discarded);
   for (const dns_zone::RawRecord& r : m->answer) {
     if (r.type != static_cast<std::uint16_t>(dns_zone::Type::SOA) || r.name != origin_) continue;
     const auto soa = dns_zone::soaOf(r.data);
@@ -122,13 +122,13 @@
     tcp_->send(std::string{static_cast<char>(body.size() >> 8), static_cast<char>(body.size() & 255)} + body);
   };
   handlers.data = [this](evbuffer* input) { onTransfer(input); };
-  handlers.end = [this](log::Reason reason, const std::string& detail) {
+  handlers.end = [this](log::CloseReason reason, const std::string& detail) {
     close(reason);
     failed(std::string(log::code(reason)) + (detail.empty() ? "" : ": " + detail));
   };
   tcp_ = std::make_unique<net::Stream>(base_, primaries_[step_.primary], limits_.soa, std::move(handlers));
-  wait_.in(limits_.silence);
-  whole_.in(limits_.whole);
+  wait_.schedule(limits_.silence);
+  whole_.schedule(limits_.whole);
 }
 
 void TransferClient::onTransfer(evbuffer* input) {
@@ -143,14 +143,15 @@
     const auto m = dns_zone::decodeMessage(input_.substr(done + 2, due));
     done += 2 + due;
     if (!m || m->id != id_) {
-      close(log::Reason::BadMessage);
+      close(log::CloseReason::BadMessage);
       return failed("a message that is no answer");
     }
-    wait_.in(limits_.silence);
+    wait_.schedule(limits_.silence);
     const dns_zone::Transfer::State state = transfer_->take(*m);
     if (state == dns_zone::Transfer::State::More) continue;
     const std::unique_ptr<dns_zone::Transfer> over = std::move(transfer_);
-    close(state == dns_zone::Transfer::State::Failed ? log::Reason::BadAnswer : log::Reason::Discarded);
+    close(state == dns_zone::Transfer::State::Failed ? log::CloseReason::BadAnswer
+                                                     : log::CloseReason::Discarded);
     if (state == dns_zone::Transfer::State::Failed) return failed(over->why());
     if (state == dns_zone::Transfer::State::Unfit) {
       ++counts_.unfit;
@@ -182,7 +183,7 @@
   carryOut(secondary_.failed(clock_()));
 }
 
-void TransferClient::close(log::Reason reason) {
+void TransferClient::close(log::CloseReason reason) {
   wait_.cancel();
   whole_.cancel();
   udp_.reset();
--- a/src/zone_server/transfer_client.h
+++ b/src/zone_server/transfer_client.h
@@ -51,7 +51,7 @@
   void transfer();
   void onTransfer(evbuffer* input);
   void failed(const std::string& why);
-  void close(log::Reason reason);
+  void close(log::CloseReason reason);
 
   event_base* base_;
   const std::string label_, origin_;
--- a/src/zone_server/zone_source.cpp
+++ b/src/zone_server/zone_source.cpp
@@ -87,7 +87,7 @@
                              << " records from the store, " << stored.entries.size()
                              << " changes behind its snapshot";
   processor_ = std::make_unique<dns_zone::UpdateProcessor>(std::move(zone), std::move(requests), settings());
-  publishSoon_.in(0);
+  publishSoon_.schedule(0);
 }
 
 // A zone with an SOA alone, which updates fill.
@@ -113,7 +113,7 @@
         std::move(zone), std::vector<dns_zone::AnsweredRequest>{}, settings());
   else
     processor_->replace(std::move(zone));
-  publishSoon_.in(0);
+  publishSoon_.schedule(0);
   if (!op_.state.empty() && !broken_) compact();
 }
 
--- a/src/zone_server/zone_source_file.cpp
+++ b/src/zone_server/zone_source_file.cpp
@@ -20,7 +20,7 @@
 
 void ZoneSource::looked(const FileReading& found) {
   looking_ = false;
-  watch_.in(op_.watchEvery);
+  watch_.schedule(op_.watchEvery);
   if (!found.reading) return;
   const bool news = found.signature != signature_;
   signature_ = found.signature;
--- a/src/zone_server/zone_source_primary.cpp
+++ b/src/zone_server/zone_source_primary.cpp
@@ -35,7 +35,7 @@
 // restart knows.
 void ZoneSource::fresh() {
   freshAt_ = around_.clock();
-  publishSoon_.in(0);
+  publishSoon_.schedule(0);
   if (op_.state.empty() || broken_ || !processor_) return;
   const Micros expire = static_cast<Micros>(zone()->soa().expire) * 1000000;
   if (freshAt_ - freshStored_ < expire / 8) return;
--- a/src/zone_server/zone_source_store.cpp
+++ b/src/zone_server/zone_source_store.cpp
@@ -39,11 +39,11 @@
   }
   if (outcome.ok) {
     for (const dns_zone::Difference& change : processor_->lastChanges()) addDrained(change, drained_);
-    if (!publishSoon_.set()) publishSoon_.in(kGather);
+    if (!publishSoon_.isScheduled()) publishSoon_.schedule(kGather);
   } else {
     ++counts_.failedBatches;
     around_.log->error("zones") << op_.label << ": " << outcome.why << ", updates not taken code=store";
-    retry_.in(0);
+    retry_.schedule(0);
   }
   if (next_) return takeNext();
   if (journalBytes_ > std::max(kJournalLeast, 2 * snapshotBytes_)) return compact();
@@ -52,7 +52,7 @@
 
 void ZoneSource::compact() {
   if (op_.state.empty() || broken_ || !processor_) return;
-  if (busy_) return retry_.in(kGather);
+  if (busy_) return retry_.schedule(kGather);
   busy_ = true;
   ++counts_.compactions;
   worker_.run([this, disk = disk_,
@@ -71,7 +71,7 @@
   snapshotBytes_ = result.snapshotBytes;
   if (!result.outcome.ok) {
     around_.log->error("zones") << op_.label << ": " << result.outcome.why << ", tried again code=store";
-    retry_.in(kRetry);
+    retry_.schedule(kRetry);
   }
   if (next_) return takeNext();
   writeNext();
--- a/src/zone_server/zone_source_updates.cpp
+++ b/src/zone_server/zone_source_updates.cpp
@@ -37,7 +37,7 @@
                                << keys_.size() << " keys";
   } catch (const std::exception& e) {
     around_.log->error("zones") << op_.label << ": " << e.what() << " code=listen";
-    listenAgain_.in(kListenRetry);
+    listenAgain_.schedule(kListenRetry);
   }
 }
 
--- a/tests/supervisor/supervisor_test.cpp
+++ b/tests/supervisor/supervisor_test.cpp
@@ -56,8 +56,8 @@
   exchange.onTableUpdate([&](const dispatch::Dispatcher::TableUpdate& o) { orders.push_back(o); });
   const auto rest =
       exchange.dispatch({SetTimer{1, "t"}, SetRoute{1, "s", 1}, WatchEndpoints{true}, ClearTable{2},
-                      SetEjection{"s", EjectionState::Ejected}, PollEndpoints{}, SetAdmission{},
-                      AcknowledgementRequest{4}, WatchEndpoints{false}, Log{"x"}, HealthCheck{"s"}});
+                         SetEjection{"s", EjectionState::Ejected}, PollEndpoints{}, SetAdmission{},
+                         AcknowledgementRequest{4}, WatchEndpoints{false}, Log{"x"}, HealthCheck{"s"}});
   ASSERT_EQ(orders.size(), 1u) << "the orders of one reply stay together";
   ASSERT_EQ(orders[0].size(), 5u);
   EXPECT_TRUE(std::holds_alternative<SetRoute>(orders[0].front()));
@@ -187,9 +187,9 @@
 
 TEST(Logging, EveryReasonHasACodeOfItsOwn) {
   std::set<std::string> codes;
-  for (int k = 0; k <= static_cast<int>(log::Reason::Stopping); ++k)
-    codes.insert(log::code(static_cast<log::Reason>(k)));
-  EXPECT_EQ(codes.size(), static_cast<std::size_t>(log::Reason::Stopping) + 1);
+  for (int k = 0; k <= static_cast<int>(log::CloseReason::Stopping); ++k)
+    codes.insert(log::code(static_cast<log::CloseReason>(k)));
+  EXPECT_EQ(codes.size(), static_cast<std::size_t>(log::CloseReason::Stopping) + 1);
   EXPECT_EQ(codes.count("unknown"), 0u);
 }
 
--- a/tests/support/loop.h
+++ b/tests/support/loop.h
@@ -26,7 +26,7 @@
     const Micros end = net::steadyNow() + limit;
     while (!holds()) {
       if (net::steadyNow() > end) return false;
-      tick.in(5000);
+      tick.schedule(5000);
       event_base_loop(base.get(), EVLOOP_ONCE);
     }
     return true;
