--- a/tests/decision/admission_controller_test.cpp
+++ b/tests/decision/admission_controller_test.cpp
@@ -170,6 +170,10 @@
   for (auto& [id, server] : servers_) server.admission.admittedShare = 0.9;
   EXPECT_DOUBLE_EQ(ratioOfSlice(0.35), 0.6) << "0.25 lower: not enough for a change";
   EXPECT_DOUBLE_EQ(ratioOfSlice(0.25), 0.25);
+  slices_.at(0).publishedRatios[0] = 0.601;
+  EXPECT_DOUBLE_EQ(ratioOfSlice(0.3), 0.3);
+  slices_.at(0).publishedRatios[0] = 0.599;
+  EXPECT_DOUBLE_EQ(ratioOfSlice(0.3), 0.599);
 }
 
 TEST_F(AdmissionRatiosTest, SlicesHaveTheirOwnRatiosWhereAMessageHoldsThem) {
--- a/tests/decision/component_settings.h
+++ b/tests/decision/component_settings.h
@@ -10,7 +10,7 @@
 
 namespace peargrade::decision {
 
-/// Two classes with latency objectives of 1 s and 2 s; the second is worth three times as much.
+/// Two classes with latency objectives of 1 s and 2 s; the second has three times the priority weight.
 inline Settings componentSettings() {
   Settings settings;
   RequestClass low;
--- a/tests/decision/hotspot_rule_test.cpp
+++ b/tests/decision/hotspot_rule_test.cpp
@@ -106,5 +106,26 @@
   EXPECT_DOUBLE_EQ(servers_["a"].capacity.factor, 0.81);
 }
 
+/// Three servers of which "a" has a share of the mean load; the median one is relaxed.
+class CapacityEstimatorTest : public ComponentFixture {
+ protected:
+  double factorAt(std::int64_t permilleOfMean) {
+    servers_.clear();
+    slices_.clear();
+    for (const ServerId id : {"a", "b", "c"}) servers_[id] = usableServer();
+    addSlice(1, "a", permilleOfMean);
+    addSlice(2, "b", 3000 - permilleOfMean);
+    estimate();
+    servers_["a"].reports.pressure = 0.56;
+    capacity_.update(servers_);
+    return servers_["a"].capacity.factor;
+  }
+};
+
+TEST_F(CapacityEstimatorTest, LoadIsFairOverSevenTenthsOfTheMean) {
+  EXPECT_EQ(factorAt(699), 1);
+  EXPECT_DOUBLE_EQ(factorAt(705), 0.8);
+}
+
 }  // namespace
 }  // namespace peargrade::decision
