--- a/src/commands/check_command.cpp
+++ b/src/commands/check_command.cpp
@@ -16,8 +16,8 @@
   std::cout << "settings   " << config.names.classes.size() << " classes, " << config.settings.slices
             << " slices, " << config.names.zones.size() << " zones, " << config.settings.supervisors
             << " supervisors\n";
-  std::cout << "known      revision " << config.cachedList.version << ", " << config.cachedList.endpoints.size()
-            << " servers\n";
+  std::cout << "known      revision " << config.cachedList.version << ", "
+            << config.cachedList.endpoints.size() << " servers\n";
 }
 
 }  // namespace
