--- a/scale/discoverypart.cpp
+++ b/scale/discoverypart.cpp
@@ -14,7 +14,6 @@
 
 DiscoveryPart::DiscoveryPart(event_base* base, const Scenario& scenario)
     : scenario_(scenario),
-      base_(base),
       first_(base),
       second_(base),
       draining_(static_cast<std::size_t>(scenario.sizes.servers)),
--- a/scale/discoverypart.h
+++ b/scale/discoverypart.h
@@ -26,7 +26,6 @@
   void tell(int server, bool draining);
 
   const Scenario& scenario_;
-  event_base* base_;
   fakes::Discovery first_, second_;
   std::vector<bool> draining_;
   std::deque<int> order_;  // those that drain, the oldest first
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -192,65 +192,93 @@
   return within ? 0 : kRuleBroken;
 }
 
-}  // namespace
-}  // namespace peargrade::scale
-
-int main(int argc, char** argv) {
-  using namespace peargrade::scale;
-  CLI::App app("the hollow fleet: supervisors by the hundred on loopback, their peers hollow");
-  app.require_subcommand(1);
+/// What the command line asks for, and the exit code of the command that was run.
+struct CommandLine {
   Asked asked;
-  asked.program = programBeside();
-  int code = 0;
-  const auto fleet = [&](const char* name, const char* says) {
-    CLI::App* command = app.add_subcommand(name, says);
-    command->add_option("scenario", asked.file, "a KDL file, as in scale/scenarios/")->required();
-    command->add_option("--set", asked.settings, "NAME=NUMBER: a size or rate in place of the file's");
-    command->add_option("--out", asked.out, "file that results are added to; else standard output");
-    command->add_option("--repetitions", asked.repetitions, "of the whole")
-        ->check(CLI::Range(1, 100))
-        ->capture_default_str();
-    command->add_option("--program", asked.program, "peargrade, for real supervisors")->capture_default_str();
-    command->add_option("--revision", asked.revision, "told in results; else that of the checkout here");
-    return command;
-  };
-  fleet("run", "run a scenario")->callback([&] { code = run(asked); });
-  CLI::App* sweeping = fleet("sweep", "run a scenario with one size or rate at several values");
-  sweeping->add_option("--variable", asked.variable, "its name in the file")->required();
-  sweeping->add_option("--values", asked.values, "23,94,188")->required()->delimiter(',');
-  sweeping->callback([&] { code = sweep(asked); });
-  CLI::App* climbing = fleet("ladder", "run a scenario with all that grows at parts of it");
-  climbing->add_option("--parts", asked.values, "0.0625,0.125,0.25,0.5,1")
+  FitAsked fit;
+  CompareAsked compare;
+  int exitCode = 0;
+};
+
+CLI::App* addFleetCommand(CLI::App& app, CommandLine& line, const char* name, const char* description) {
+  Asked& asked = line.asked;
+  CLI::App* command = app.add_subcommand(name, description);
+  command->add_option("scenario", asked.file, "a KDL file, as in scale/scenarios/")->required();
+  command->add_option("--set", asked.settings, "NAME=NUMBER: a size or rate in place of the file's");
+  command->add_option("--out", asked.out, "file that results are added to; else standard output");
+  command->add_option("--repetitions", asked.repetitions, "of the whole")
+      ->check(CLI::Range(1, 100))
+      ->capture_default_str();
+  command->add_option("--program", asked.program, "peargrade, for real supervisors")->capture_default_str();
+  command->add_option("--revision", asked.revision, "told in results; else that of the checkout here");
+  return command;
+}
+
+void addFleetCommands(CLI::App& app, CommandLine& line) {
+  addFleetCommand(app, line, "run", "run a scenario")->callback([&line] { line.exitCode = run(line.asked); });
+
+  CLI::App* sweeping =
+      addFleetCommand(app, line, "sweep", "run a scenario with one size or rate at several values");
+  sweeping->add_option("--variable", line.asked.variable, "its name in the file")->required();
+  sweeping->add_option("--values", line.asked.values, "23,94,188")->required()->delimiter(',');
+  sweeping->callback([&line] { line.exitCode = sweep(line.asked); });
+
+  CLI::App* climbing =
+      addFleetCommand(app, line, "ladder", "run a scenario with all that grows at parts of it");
+  climbing->add_option("--parts", line.asked.values, "0.0625,0.125,0.25,0.5,1")
       ->delimiter(',')
       ->check(CLI::Range(0.001, 1.0));
-  climbing->callback([&] {
-    if (asked.values.empty()) asked.values = {0.0625, 0.125, 0.25, 0.5, 1};
-    code = ladder(asked);
+  climbing->callback([&line] {
+    if (line.asked.values.empty()) line.asked.values = {0.0625, 0.125, 0.25, 0.5, 1};
+    line.exitCode = ladder(line.asked);
   });
-  FitAsked fitAsked;
+}
+
+void addAnalysisCommands(CLI::App& app, CommandLine& line) {
   CLI::App* fitting = app.add_subcommand("fit", "how each figure of a sweep grows");
-  fitting->add_option("results", fitAsked.file, "as a sweep wrote them")->required();
-  fitting->add_option("--variable", fitAsked.variable, "what was swept")->required();
-  fitting->add_option("--role", fitAsked.role, "of this role only");
-  fitting->add_option("--metric", fitAsked.metric, "this figure only");
-  fitting->callback([&] { code = fitAll(fitAsked); });
-  CompareAsked compareAsked;
+  fitting->add_option("results", line.fit.file, "as a sweep wrote them")->required();
+  fitting->add_option("--variable", line.fit.variable, "what was swept")->required();
+  fitting->add_option("--role", line.fit.role, "of this role only");
+  fitting->add_option("--metric", line.fit.metric, "this figure only");
+  fitting->callback([&line] { line.exitCode = fitAll(line.fit); });
+
   CLI::App* comparing = app.add_subcommand("compare", "hollow supervisors' slopes beside real ones'");
-  comparing->add_option("results", compareAsked.file, "of a sweep with real supervisors")->required();
-  comparing->add_option("--variable", compareAsked.variable, "what was swept")->required();
-  comparing->add_option("--tolerance", compareAsked.tolerance, "by which slopes may differ, as a share")
+  comparing->add_option("results", line.compare.file, "of a sweep with real supervisors")->required();
+  comparing->add_option("--variable", line.compare.variable, "what was swept")->required();
+  comparing->add_option("--tolerance", line.compare.tolerance, "by which slopes may differ, as a share")
       ->capture_default_str();
-  comparing->callback([&] { code = compare(compareAsked); });
+  comparing->callback([&line] { line.exitCode = compare(line.compare); });
+
   app.add_subcommand("settings", "list what a scenario's file may hold")->callback([] {
     std::cout << settingsTable();
   });
-  app.parse_complete_callback([&] {
-    if (asked.revision.empty()) asked.revision = revisionHere();
+}
+
+int runCommandLine(int argc, char** argv) {
+  CLI::App app("the hollow fleet: supervisors by the hundred on loopback, their peers hollow");
+  app.require_subcommand(1);
+  CommandLine line;
+  line.asked.program = programBeside();
+  addFleetCommands(app, line);
+  addAnalysisCommands(app, line);
+  app.parse_complete_callback([&line] {
+    if (line.asked.revision.empty()) line.asked.revision = revisionHere();
   });
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
     return app.exit(e);
+  }
+  return line.exitCode;
+}
+
+}  // namespace
+}  // namespace peargrade::scale
+
+int main(int argc, char** argv) {
+  using namespace peargrade::scale;
+  try {
+    return runCommandLine(argc, argv);
   } catch (const Wrong& e) {
     std::cerr << "peargrade_scale: refused:\n" << e.what() << '\n';
     return kWrong;
@@ -261,5 +289,4 @@
     std::cerr << "peargrade_scale: " << e.what() << '\n';
     return kFailed;
   }
-  return code;
 }
--- a/tests/decision/behaviour_test.cpp
+++ b/tests/decision/behaviour_test.cpp
@@ -8,7 +8,8 @@
 #include <string>
 #include <utility>
 
-#include "recorded_stream.h"
+#include "recorded_deployments.h"
+#include "recorded_fleet.h"
 
 namespace peargrade::test {
 namespace {
--- /dev/null
+++ b/tests/decision/recorded_deployments.cpp
@@ -0,0 +1,89 @@
+#include "recorded_deployments.h"
+
+#include "support/decision_settings.h"
+
+namespace peargrade::test {
+namespace {
+
+RequestClass requestClass(Micros latencyObjective, double priorityWeight, Idempotency idempotency) {
+  RequestClass requestClass;
+  requestClass.latencyObjective = latencyObjective;
+  requestClass.deadline = 3 * latencyObjective;
+  requestClass.priorityWeight = priorityWeight;
+  requestClass.idempotency = idempotency;
+  requestClass.isWrite = idempotency != Idempotency::Idempotent;
+  return requestClass;
+}
+
+Settings sharedSlices() {
+  Settings settings = deploymentSettings();
+  settings.classes = {requestClass(800 * kMillisecond, 1, Idempotency::Idempotent),
+                      requestClass(1600 * kMillisecond, 6, Idempotency::WithIdempotencyKey),
+                      requestClass(1200 * kMillisecond, 3, Idempotency::NonIdempotent)};
+  settings.supervisors = 3;
+  settings.slices = 96;
+  settings.proxies = 60;
+  settings.routesPerSecond = 9000;
+  settings.pendingRoutesMax = 6000;
+  settings.deliveryReported = true;
+  return settings;
+}
+
+}  // namespace
+
+std::vector<Deployment> recordedDeployments() {
+  std::vector<Deployment> deployments;
+
+  deployments.push_back({"SharedSlices", sharedSlices(), 18, 3, 40, 36});
+
+  Deployment polled{"PolledAdvisoryList", sharedSlices(), 14, 2, 24, 28};
+  polled.settings.endpointsOnRequest = true;
+  polled.settings.removalIsAdvisory = true;
+  polled.settings.endpointsHaveWeights = true;
+  polled.settings.routesPerSecond = 700;
+  polled.settings.pendingRoutesMax = 2400;
+  polled.settings.slices = 28;
+  polled.settings.admissionUnit = AdmissionUnit::Ratio;
+  deployments.push_back(polled);
+
+  Deployment single{"SingleOwnerSlices", sharedSlices(), 12, 2, 16, 24};
+  single.settings.sliceOwnership = SliceOwnership::SingleOwner;
+  single.settings.slices = 48;
+  single.settings.lease = 3 * kSecond;
+  single.settings.inFlightWriteMax = 700 * kMillisecond;
+  single.settings.admissionUnit = AdmissionUnit::Unsupported;
+  single.settings.pendingRoutesMax = 60000;
+  deployments.push_back(single);
+
+  Deployment checked{"HealthChecks", sharedSlices(), 16, 2, 20, 40};
+  checked.settings.healthChecksAllowed = true;
+  checked.settings.deliveryReported = false;
+  checked.settings.slices = 40;
+  checked.firstList = 2 * kSecond;
+  checked.settings.proxies = 0;
+  checked.settings.messagesPerProxyMax = 12;
+  checked.settings.pendingRoutesMax = 1e9;
+  deployments.push_back(checked);
+
+  Deployment quiet{"LittleTraffic", sharedSlices(), 20, 2, 12, 101};
+  quiet.settings.slices = 101;
+  quiet.settings.removalIsAdvisory = true;
+  quiet.traffic = 0.04;
+  quiet.firstList = 3 * kSecond;
+  deployments.push_back(quiet);
+
+  Deployment erratic{"ErraticReports", sharedSlices(), 14, 3, 10, 40};
+  erratic.settings.slices = 80;
+  erratic.erraticReports = true;
+  deployments.push_back(erratic);
+
+  Deployment proxies{"ProxyTables", sharedSlices(), 10, 2, 12, 0};
+  proxies.settings.slices = 0;
+  proxies.settings.attemptTimeoutObjectives = 1.5;
+  proxies.settings.deliveryReported = false;
+  deployments.push_back(proxies);
+
+  return deployments;
+}
+
+}  // namespace peargrade::test
--- a/tests/decision/recorded_stream.h
+++ b/tests/decision/recorded_deployments.h
@@ -1,13 +1,10 @@
-// A generated stream of events for the decision module, and a hash over what the module decides on it. The
-// stream depends on its seed and on the module's own actions only, so two modules that decide alike get the
-// same stream and the same hash.
+// The deployments whose decisions are recorded.
 #pragma once
 
-#include <cstdint>
 #include <string>
 #include <vector>
 
-#include "peargrade/decision_engine.h"
+#include "peargrade/settings.h"
 
 namespace peargrade::test {
 
@@ -29,9 +26,4 @@
 /// channels.
 std::vector<Deployment> recordedDeployments();
 
-/// Plays `span` microseconds of the deployment on `seed` and returns a hash over every action but the texts
-/// of `Log`. The values of all fields are folded in their order, so renaming a field does not change the
-/// hash.
-std::uint64_t actionHash(const Deployment& deployment, std::uint64_t seed, Micros span);
-
 }  // namespace peargrade::test
--- a/tests/decision/recovery_ramp_test.cpp
+++ b/tests/decision/recovery_ramp_test.cpp
@@ -74,7 +74,8 @@
       span.push_back(sent / (warmUpFraction * fairRate));
       if (span.size() > static_cast<std::size_t>(settings.overloadDurationMax / kStep)) span.pop_front();
       double mean = 0;
-      for (const double part : span) mean += part * kStep / settings.overloadDurationMax;
+      for (const double part : span)
+        mean += part * static_cast<double>(kStep) / static_cast<double>(settings.overloadDurationMax);
       most = std::max(most, mean);
       EXPECT_LE(mean, settings.overloadFactor)
           << name << " at " << (all[0].now - started) / kMillisecond << " ms";
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -156,7 +156,7 @@
   std::vector<int> fill;  // once the listener's queue is full, connection attempts hang
   for (int k = 0; k < 4; ++k) {
     fill.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-    connect(fill.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+    static_cast<void>(connect(fill.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address));
   }
   Limits limits;
   limits.idleTimeout = 60000000;
--- a/tests/dns_zone/transfer_test.cpp
+++ b/tests/dns_zone/transfer_test.cpp
@@ -118,7 +118,7 @@
 
 TEST(Transfer, WhatIsNoTransferFails) {
   const Zone z = version(9, 1);
-  const auto failing = [&](std::vector<RawRecord> all, std::size_t most = 1000) {
+  const auto failing = [&](const std::vector<RawRecord>& all, std::size_t most = 1000) {
     Transfer t("example.org", nullptr, most);
     EXPECT_EQ(feed(t, all, 3), Transfer::State::Failed);
     EXPECT_FALSE(t.why().empty());
--- a/tests/membership/authority_property_test.cpp
+++ b/tests/membership/authority_property_test.cpp
@@ -111,11 +111,10 @@
   void noteZone(const ZoneStep& step) {
     for (int k = 0; k < kServers; ++k) {
       const bool restarted = contains(step.started, k) || !contains(inZone_, k);
-      if (!contains(step.servers, k))
-        drainedSince_.erase(k);  // removed, not drained
-      else if (contains(step.drained, k))
+      const bool removed = !contains(step.servers, k);  // not drained
+      if (!removed && contains(step.drained, k))
         drainedSince_.emplace(k, now);
-      else if (restarted)
+      else if (removed || restarted)
         drainedSince_.erase(k);
     }
     inZone_ = step.servers;
--- a/tests/membership/property_fixture.cpp
+++ b/tests/membership/property_fixture.cpp
@@ -113,7 +113,7 @@
 }
 
 std::optional<MembershipUpdate> SimulatedMembership::takeUpdate() {
-  const auto update = membership.reconcile(now);
+  std::optional<MembershipUpdate> update = membership.reconcile(now);
   if (update) apply(*update, list);
   return update;
 }
