--- a/tests/membership/membership_fixture.h
+++ b/tests/membership/membership_fixture.h
@@ -34,7 +34,7 @@
 /// A reader's list of servers.
 using ServerList = std::map<ServerId, Endpoint>;
 
-inline void apply(const MembershipUpdate& update, ServerList& list) {
+inline void applyUpdate(const MembershipUpdate& update, ServerList& list) {
   if (update.list.kind == EndpointListKind::Full) list.clear();
   for (const Endpoint& endpoint : update.list.endpoints) {
     if (endpoint.state == EndpointState::Removed)
@@ -65,7 +65,7 @@
     const auto update = membership->reconcile(now);
     if (!update) return false;
     lastDecisions = update->decisions;
-    apply(*update, list);
+    applyUpdate(*update, list);
     return true;
   }
   /// Moves the clock, and reconciles whenever it is due.
--- a/tests/membership/property_fixture.cpp
+++ b/tests/membership/property_fixture.cpp
@@ -114,7 +114,7 @@
 
 std::optional<MembershipUpdate> SimulatedMembership::takeUpdate() {
   std::optional<MembershipUpdate> update = membership.reconcile(now);
-  if (update) apply(*update, list);
+  if (update) applyUpdate(*update, list);
   return update;
 }
 
