--- a/src/membership/address_state.h
+++ b/src/membership/address_state.h
@@ -87,7 +87,7 @@
   Micros forgetAt = 0;
   /// Published as draining because its tier is no longer needed.
   bool drainedByTier = false;
-  /// When it was listed anew after an absence, within the flap window.
+  /// When it was listed again after an absence, within the flap window.
   std::vector<Micros> returns;
   /// Its place in the EvaluationSchedule; 0: none.
   Micros evaluateAt = 0;
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -13,8 +13,8 @@
   Records,  // weight and priority of the records
 };
 
-/// How several sources become one list. Times in microseconds, shares from 0 to 1. Behind each field stands
-/// the operator's word for it.
+/// How several sources become one list. Times in microseconds, shares from 0 to 1. Each comment ends
+/// with the field's name in the operator's file.
 struct Settings {
   /// How long a server that only records without authority list stays listed after they expired. `stale`.
   Micros staleRetention = 60000000;
--- a/src/membership/tiers.cpp
+++ b/src/membership/tiers.cpp
@@ -6,7 +6,7 @@
 namespace peargrade::membership {
 namespace {
 
-// A weight of 0 beside others means a very small share (RFC 2782). The bounds keep every server reachable,
+// A weight of 0 next to others means a very small share (RFC 2782). The bounds keep every server reachable,
 // and one wrong weight from drawing all load.
 constexpr double kRelativeWeightMin = 0.02;
 constexpr double kRelativeWeightMax = 50;
--- a/tests/discovery/discovery_fixture.h
+++ b/tests/discovery/discovery_fixture.h
@@ -21,8 +21,8 @@
 
 /// A full list of one endpoint.
 inline const std::string kFullList =
-    R"({"rev":41,"all":true,"targets":[{"uid":"s-5be2a07c","endpoint":"10.1.0.18:3000","az":"b","model":"m2",)"
-    R"("pod_group":3,"state":"DRAINING","capacity_hint":1.5,"boot_ms":1764600000123}]})";
+    R"({"rev":41,"all":true,"targets":[{"uid":"s-5be2a07c","endpoint":"10.1.0.18:3000","az":"b",)"
+    R"("model":"m2","pod_group":3,"state":"DRAINING","capacity_hint":1.5,"boot_ms":1764600000123}]})";
 
 class DiscoveryTest : public testing::Test {
  protected:
--- a/tests/membership/authority_test.cpp
+++ b/tests/membership/authority_test.cpp
@@ -89,5 +89,15 @@
   EXPECT_EQ(list[addressOf(2)].startedAt, now - 3 * kSecond) << "a record without a start does not change it";
 }
 
+TEST_F(RecordAuthority, ServerStartedAtTheMomentOfItsDrainIsDrained) {
+  start(true, {}, {true});
+  applyRoster(EndpointListKind::Full, {rosterEntry(1, EndpointState::Ready, now), rosterEntry(2)});
+  Observation observation = response({1, 2}, 3600 * kSecond);
+  observation.records[0].state = EndpointState::Draining;
+  membership->applyRecords(observation, now);
+  reconcile();
+  EXPECT_EQ(ruleOf("s-1"), Rule::RecordsDraining);
+}
+
 }  // namespace
 }  // namespace peargrade::membership
--- a/tests/membership/records_test.cpp
+++ b/tests/membership/records_test.cpp
@@ -161,5 +161,14 @@
   EXPECT_EQ(readyServers().size(), 3u);
 }
 
+// The longer lifetime counts, whichever response is applied first.
+TEST_F(RecordMembership, TwoResponsesFromOneMomentKeepTheLongerLifetime) {
+  start(false);
+  applyPartial({1}, 60 * kSecond);
+  applyPartial({1}, 5 * kSecond);
+  advance(10 * kSecond);
+  EXPECT_EQ(ruleOf(addressOf(1)), Rule::Records);
+}
+
 }  // namespace
 }  // namespace peargrade::membership
