--- a/src/decision/action_queue.h
+++ b/src/decision/action_queue.h
@@ -1,4 +1,4 @@
-// The actions of the batch being handled, in their order.
+// The actions that result from the current batch of events.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace peargrade::decision {
 
-/// Collects actions. Components append; the engine takes them at the end of a batch.
+/// Collects actions in order. Components append actions; the engine removes all of them at the end of a
+/// batch.
 class ActionQueue {
  public:
   /// `action`: an Action or one of its alternatives.
@@ -18,6 +19,7 @@
     actions_.emplace_back(std::forward<Alternative>(action));
   }
   void log(std::string text) { actions_.emplace_back(Log{std::move(text)}); }
+  /// Returns all actions and empties the queue.
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
  private:
--- a/src/decision/action_target.cpp
+++ b/src/decision/action_target.cpp
@@ -10,7 +10,7 @@
 namespace peargrade::decision {
 namespace {
 
-/// Kind of action, table, server, classes.
+/// Index of the action's alternative, table, server, mask of request classes.
 using ActionTarget = std::tuple<std::size_t, TableId, ServerId, unsigned>;
 
 ActionTarget targetOf(const Action& action) {
--- a/src/decision/action_target.h
+++ b/src/decision/action_target.h
@@ -1,4 +1,5 @@
-// What an action on the proxies sets: a newer action with the same target replaces it.
+// The target of an action: the routing state of the proxies that it sets. Of several actions with the same
+// target, only the last has an effect.
 #pragma once
 
 #include <vector>
@@ -7,10 +8,10 @@
 
 namespace peargrade::decision {
 
-/// The table that an action of an update changes; kAllTables where it concerns all of them.
+/// The table that an action of an update changes; kAllTables if it changes all tables.
 [[nodiscard]] TableId tableOf(const Action& action);
 
-/// Drops the actions that a later one with the same target replaces; the order of the others stays.
+/// Removes the actions that are followed by an action with the same target. Keeps the order of the others.
 void dropSuperseded(std::vector<Action>& actions);
 
 }  // namespace peargrade::decision
--- a/src/decision/admission_controller.h
+++ b/src/decision/admission_controller.h
@@ -1,4 +1,4 @@
-// Admission control: how much heat each server may be sent, learned from its pressure.
+// Admission control: limits the heat of each server, based on the pressure and failures in load reports.
 #pragma once
 
 #include <cstddef>
@@ -12,9 +12,10 @@
 class LoadEstimator;
 class SlowStart;
 
-/// Learns each server's heat limit. An overloaded server's limit is set a step below what it receives, and
-/// rises in growing steps while the server is relaxed, until it limits nothing. While pressure is high a
-/// passing cut lets the queue drain. A warming server is held to what warm ones sustain, by its slow start.
+/// Adjusts a heat limit for each server. When a server is overloaded, its limit is set one step below the
+/// heat that it receives. While it is relaxed, the limit rises in growing steps, and is removed once it
+/// exceeds the offered heat. While its pressure is high, the admitted share is reduced further, so that its
+/// queue drains. A warming server is limited to the heat that warm servers sustain, times its ramp factor.
 class AdmissionController {
  public:
   AdmissionController(const Clock& clock, const PressureEstimator& pressure)
@@ -22,9 +23,10 @@
 
   /// Sets each server's heat limit and admitted share. Called once for each decision.
   void adjust(ServerMap& servers, const LoadEstimator& load, const SlowStart& slowStart);
-  /// Whether work is short in the fleet: a third of the warm servers are limited, or many attempts fail.
+  /// Whether the fleet is overloaded: more than a third of the warm servers have a heat limit, or many
+  /// attempts at warm servers fail.
   [[nodiscard]] bool isOverloaded() const { return isOverloaded_; }
-  /// Heat that a unit of listed weight of a warm server takes; 0: unknown.
+  /// Heat per unit of listed weight that warm servers admit on average; 0: unknown.
   [[nodiscard]] double sustainedHeatPerWeight() const { return sustainedHeat_; }
   /// Share of the offered heat that warm servers admit.
   [[nodiscard]] double admittedShare() const { return admittedShare_; }
@@ -40,13 +42,13 @@
     AttemptCounts counts;
   };
 
-  /// `heat`: per listed weight, offered to the server now.
-  void adjustLimit(ServerState& server, double heat) const;
-  void decreaseLimit(ServerState& server, double heat) const;
-  void increaseLimit(ServerState& server, double heat) const;
+  /// `heatPerWeight`: heat offered to the server, per unit of listed weight.
+  void adjustLimit(ServerState& server, double heatPerWeight) const;
+  void decreaseLimit(ServerState& server, double heatPerWeight) const;
+  void increaseLimit(ServerState& server, double heatPerWeight) const;
   void updateFleetState(const WarmServers& warm);
-  /// `heat`: per listed weight that the server has now.
-  void setAdmittedShare(ServerState& server, double heat, bool isWarmingUp) const;
+  /// `heatPerWeight`: heat offered to the server, per unit of listed weight times its ramp factor.
+  void setAdmittedShare(ServerState& server, double heatPerWeight, bool isWarmingUp) const;
 
   const Clock& clock_;
   const PressureEstimator& pressure_;
--- a/src/decision/admission_ratios.h
+++ b/src/decision/admission_ratios.h
@@ -1,4 +1,4 @@
-// Admission ratios by class, for the whole fleet and for single slices.
+// Admission ratios by request class, for the fleet and for single slices.
 #pragma once
 
 #include <cstddef>
@@ -14,9 +14,10 @@
 
 namespace peargrade::decision {
 
-/// Turns the servers' admitted shares into admission ratios: the class with the least priority weight per
-/// cost is shed first. A ratio for each slice costs a route each. Where more are needed than a message holds,
-/// the fleet's ratio is their mean, and slices have one of their own where it is far lower.
+/// Converts the admitted shares of the servers into admission ratios by class. The class with the lowest
+/// priority weight per cost is shed first. Each ratio of a slice takes as much of an update as a route. If
+/// more ratios are needed than fit in an update, the mean ratio is published for the fleet, and a slice gets
+/// its own ratio only where that is much lower than the mean.
 class AdmissionRatios {
  public:
   AdmissionRatios(const Settings& settings, const RequestCosts& costs, const SlowStart& slowStart,
@@ -30,19 +31,22 @@
 
   /// Called once for each decision, after admission control.
   void update(ServerMap& servers, SliceMap& slices);
-  /// Ratios of all slices, by class; a slice's own may be lower.
+  /// Ratios that apply to all slices, by class. The ratio of a single slice may be lower.
   [[nodiscard]] const std::vector<double>& fleetRatios() const { return fleetRatios_; }
 
  private:
-  /// Mean ratios by class, and how many ratios of slices are below 1.
-  struct Needs {
-    std::vector<double> meanRatios;
-    std::size_t exceptions = 0;
+  /// Sums over the slices of this supervisor.
+  struct RatioSummary {
+    std::vector<double> meanRatios;  // by class, weighted by heat
+    std::size_t belowOne = 0;        // number of pairs of slice and class with a ratio below 1
   };
 
+  /// Ratios by class that together admit `admittedShare` of the heat.
   [[nodiscard]] std::vector<double> ratiosFor(double admittedShare) const;
-  [[nodiscard]] Needs needsOf(const ServerMap& servers, const SliceMap& slices) const;
-  void updateSlice(const ServerState& primary, std::size_t requestClass, bool sharesFleetRatio,
+  [[nodiscard]] RatioSummary summarize(const ServerMap& servers, const SliceMap& slices) const;
+  /// Sets the desired ratio of a slice. `usesFleetRatio`: whether the fleet's ratio may be below 1, so that
+  /// most slices need no ratio of their own.
+  void updateSlice(const ServerState& primary, std::size_t requestClass, bool usesFleetRatio,
                    SliceState& slice) const;
 
   const Settings& settings_;
--- a/src/decision/capacity_estimator.cpp
+++ b/src/decision/capacity_estimator.cpp
@@ -5,13 +5,14 @@
 namespace peargrade::decision {
 namespace {
 
-constexpr double kLeastFactor = 0.4;
-/// Factor of one decrease.
-constexpr double kDecrease = 0.8;
-/// One increase.
-constexpr double kIncrease = 0.01;
-/// Share of the mean load from which a load is fair.
-constexpr double kFairShare = 0.7;
+/// Lower bound of a capacity factor.
+constexpr double kMinFactor = 0.4;
+/// A decrease multiplies the capacity factor by this.
+constexpr double kDecreaseFactor = 0.8;
+/// An increase adds this to the capacity factor.
+constexpr double kIncreaseStep = 0.01;
+/// A server carries a fair share of the load above this share of the mean load.
+constexpr double kFairLoadShare = 0.7;
 
 }  // namespace
 
@@ -23,13 +24,13 @@
     const Micros changedAt = std::max(capacity.changedAt, server.hotspot.relievedAt);
     if (!server.isUsable() || slowStart_.isWarmingUp(server)) continue;
     if (now < changedAt + pressure_.settlingTime()) continue;
-    const double before = capacity.factor;
+    const double oldFactor = capacity.factor;
     const double pressure = server.reports.pressure;
-    const bool isFairlyLoaded = load_.projectedLoad(server) > kFairShare * load_.meanLoad();
-    if (pressure > kOverloadedPressure && isFairlyLoaded) capacity.factor *= kDecrease;
-    if (pressure < kRelaxedPressure) capacity.factor += kIncrease;
-    capacity.factor = std::clamp(capacity.factor, kLeastFactor, 1.0);
-    if (capacity.factor != before) capacity.changedAt = now;
+    const bool isFairlyLoaded = load_.projectedLoad(server) > kFairLoadShare * load_.meanLoad();
+    if (pressure > kOverloadedPressure && isFairlyLoaded) capacity.factor *= kDecreaseFactor;
+    if (pressure < kRelaxedPressure) capacity.factor += kIncreaseStep;
+    capacity.factor = std::clamp(capacity.factor, kMinFactor, 1.0);
+    if (capacity.factor != oldFactor) capacity.changedAt = now;
   }
 }
 
--- a/src/decision/capacity_estimator.h
+++ b/src/decision/capacity_estimator.h
@@ -1,4 +1,4 @@
-// Capacity of a server against its listed weight.
+// Estimates the real capacity of each server in proportion to its listed weight.
 #pragma once
 
 #include "decision/load_estimator.h"
@@ -8,8 +8,8 @@
 
 namespace peargrade::decision {
 
-/// A server that is overloaded at a fair load while most are not is weaker than its listed weight says: its
-/// capacity factor falls, and rises again slowly while it is relaxed.
+/// A server that is overloaded at a fair share of the load while most servers are not has less capacity than
+/// its listed weight states. Its capacity factor is decreased then, and increased slowly while it is relaxed.
 class CapacityEstimator {
  public:
   CapacityEstimator(const Clock& clock, const SlowStart& slowStart, const LoadEstimator& load,
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -9,13 +9,14 @@
 namespace peargrade {
 namespace {
 
-/// Interval of decisions while nothing else makes one due.
+/// Interval of the decision timer. Some events cause a decision earlier; see `needsDecision`.
 constexpr Micros kDecisionInterval = 250 * decision::kMillisecond;
 constexpr char kDecisionTimer[] = "sweep";
-/// Records of departed servers are kept for so many times the time in which they count as departed.
-constexpr Micros kRecordMemory = 2 * decision::kDepartureMemory;
+/// How long the record of a departed server is kept. TrialBudget counts the server as departed for
+/// kDepartureMemory, so the record must be kept longer than that.
+constexpr Micros kDepartedServerRetention = 2 * decision::kDepartureMemory;
 
-/// Whether an event must not wait for the next timer.
+/// Whether an event causes a decision at once instead of at the next timer.
 bool needsDecision(const Event& event) {
   return std::holds_alternative<TimerFired>(event) || std::holds_alternative<EndpointListUpdate>(event) ||
          std::holds_alternative<SliceAssignment>(event);
@@ -65,7 +66,7 @@
 void DecisionEngine::Impl::decide() {
   endpoints_.refresh(startedAt_, actions_);
   updates_.beginDecision(servers_);
-  forgetDepartedServers(servers_, slices_, clock_.now() - kRecordMemory);
+  forgetDepartedServers(servers_, slices_, clock_.now() - kDepartedServerRetention);
   estimate();
   outliers_.detect(servers_, pressure_.fleetCounts());
   evacuation_.evacuate(servers_, slices_);
@@ -86,7 +87,7 @@
   load_.estimateFleetHeat(servers_, slices_);
 }
 
-// The state by class keeps its size.
+// Slices hold state for each request class, so a change of the number of classes is ignored.
 void DecisionEngine::Impl::on(const SettingsChanged& event) {
   if (event.settings.classes.size() != costs_.classes()) return;
   updates_.changeSettings(settings_, event.settings);
@@ -108,7 +109,8 @@
   slices_.emplace(event.slice, decision::SliceState(clock_.now(), settings_.classes.size()));
 }
 
-// The server with the largest weight is the primary one; among equals a ready one.
+// The server with the largest weight becomes the primary server. Of servers with equal weights, a ready one
+// is preferred.
 void DecisionEngine::Impl::on(const StoredRoute& event) {
   const auto it = slices_.find(event.slice);
   if (it == slices_.end() || event.weight <= 0) return;
--- a/src/decision/decision_engine_impl.h
+++ b/src/decision/decision_engine_impl.h
@@ -33,8 +33,8 @@
 
 namespace peargrade {
 
-/// Owns the state of the servers and slices, and the components that read and write it. Components refer to
-/// each other, so an Impl stays where it is.
+/// Owns the state of the servers and slices, and the components that read and write it. Components hold
+/// references to each other, so an Impl is neither copied nor moved.
 class DecisionEngine::Impl {
  public:
   Impl(std::uint64_t seed, const Settings& settings);
@@ -57,13 +57,15 @@
   void on(const UpdateDelivery& event) { updates_.recordDelivery(event, servers_, slices_); }
   void on(const UpdateAcknowledged& event) { updates_.recordAcknowledgement(event, slices_); }
   void on(const AcknowledgementsMissed&) { budget_.recordMissedAcknowledgements(); }
-  // Nothing is decided by gossip and the demand of single proxies; a timer only makes a decision due.
+  // The engine does not use gossip or the load of single proxies. A fired timer carries no data: `handle`
+  // checks for it and makes a decision.
   void on(const GossipReceived&) {}
   void on(const ProxyLoadReport&) {}
   void on(const TimerFired&) {}
 
-  /// One decision: estimates first, then migrations, admission, and the update of the proxies.
+  /// Makes one decision: estimates load, plans migrations and admission, and sends an update to the proxies.
   void decide();
+  /// Estimates heat and pressure. The order of the steps matters: each reads the results of those before it.
   void estimate();
 
   Settings settings_;
@@ -73,8 +75,9 @@
   decision::ServerMap servers_;
   decision::SliceMap slices_;
   decision::UpdateChannel channel_;
-  Micros startedAt_ = 0;  // when the first batch was handled
+  Micros startedAt_ = 0;  // time of the first batch of events; 0: none yet
 
+  // Components, in the order of their construction: each refers only to those above it.
   decision::RequestCosts costs_;
   decision::EndpointList endpoints_;
   decision::PressureEstimator pressure_;
--- a/src/decision/ejection_planner.cpp
+++ b/src/decision/ejection_planner.cpp
@@ -7,10 +7,10 @@
 namespace peargrade::decision {
 namespace {
 
-/// Time that an ejection has to take effect before the drain grace runs out.
-constexpr Micros kGraceMargin = 300 * kMillisecond;
-/// Where tables are per proxy, a server that started within this time is not readmitted.
-constexpr Micros kReadmissionAge = 10 * kSecond;
+/// An ejection must have reached every proxy this long before the drain grace expires.
+constexpr Micros kDrainGraceMargin = 300 * kMillisecond;
+/// Where tables are per proxy, an ejected server is readmitted only this long after its process started.
+constexpr Micros kMinReadmissionAge = 10 * kSecond;
 
 }  // namespace
 
@@ -24,12 +24,12 @@
   for (const auto& [id, server] : servers) {
     const TableUse use{usage.published.count(id) > 0, usage.indispensable.count(id) > 0,
                        usage.stale.count(id) > 0};
-    // Where no server is usable, stale routes to a ready one are better than none.
-    const bool isNeeded = !hasUsableServer && server.isReady() && !server.outlier.isOutlier();
-    const bool isWanted = !isNeeded && shouldBeEjected(server, use, deliveryTime);
-    const bool isChange = isWanted != server.ejection.isEjected();
+    // If no server is usable, a stale route to a ready server is better than no route.
+    const bool isLastResort = !hasUsableServer && server.isReady() && !server.outlier.isOutlier();
+    const bool shouldEject = !isLastResort && shouldBeEjected(server, use, deliveryTime);
+    const bool isChange = shouldEject != server.ejection.isEjected();
     if (!isChange && !server.ejection.needsRepeat()) continue;
-    const EjectionState state = isWanted ? EjectionState::Ejected : EjectionState::Readmitted;
+    const EjectionState state = shouldEject ? EjectionState::Ejected : EjectionState::Readmitted;
     ejections.insert(isChange ? ejections.begin() : ejections.end(), SetEjection{id, state});
   }
   return ejections;
@@ -40,17 +40,17 @@
   const Micros now = clock_.now();
   const bool hasSlices = settings_.slices > 0;
   const bool isInUse = hasSlices ? use.isPublished : load_.usableWeight() > 0;
-  const bool mustLeave = isInUse && isLeaving(server) && !settings_.hasSingleOwnerSlices();
+  const bool mustEject = isInUse && mustBeVacated(server) && !settings_.hasSingleOwnerSlices();
   if (server.ejection.isEjected()) {
-    const bool isUnsettled = hasSlices ? use.isStale : server.startedWithin(now, kReadmissionAge);
-    return mustLeave || isUnsettled;
+    const bool isReadmissionBlocked = hasSlices ? use.isStale : server.startedWithin(now, kMinReadmissionAge);
+    return mustEject || isReadmissionBlocked;
   }
-  const bool graceRunsOut =
-      !server.isReady() && now + deliveryTime + kGraceMargin > server.departedAt + settings_.drainGrace;
-  return mustLeave && (graceRunsOut || !use.isIndispensable);
+  const bool isGraceExpiring =
+      !server.isReady() && now + deliveryTime + kDrainGraceMargin > server.departedAt + settings_.drainGrace;
+  return mustEject && (isGraceExpiring || !use.isIndispensable);
 }
 
-bool EjectionPlanner::isLeaving(const ServerState& server) const {
+bool EjectionPlanner::mustBeVacated(const ServerState& server) const {
   return server.outlier.isOutlier() || (endpoints_.isCurrent() && !server.isReady());
 }
 
--- a/src/decision/ejection_planner.h
+++ b/src/decision/ejection_planner.h
@@ -1,4 +1,4 @@
-// Which servers to eject from all tables, and which to readmit.
+// Plans which servers are ejected from all routing tables and which are readmitted.
 #pragma once
 
 #include <vector>
@@ -13,31 +13,34 @@
 
 namespace peargrade::decision {
 
-/// A server that must be left is ejected from all tables by one action, once its slices have another route or
-/// the drain grace runs out. Its routes are removed later, and before it is readmitted.
+/// Ejects a server that must no longer receive requests (an outlier, draining, removed). One ejection takes
+/// it out of all tables at once, which needs fewer routes than changing each table. It is sent once every
+/// slice of the server has another usable route, or when the drain grace is about to expire. The routes to an
+/// ejected server are removed afterwards; it is readmitted only when no such route is left.
 class EjectionPlanner {
  public:
   EjectionPlanner(const Settings& settings, const Clock& clock, const EndpointList& endpoints,
                   const LoadEstimator& load, const UpdateBudget& budget)
       : settings_(settings), clock_(clock), endpoints_(endpoints), load_(load), budget_(budget) {}
 
-  /// Changes first, then what has to be published again.
+  /// The ejections and readmissions to publish now: first changes, then those whose delivery is unknown.
   [[nodiscard]] std::vector<SetEjection> plan(const ServerMap& servers, const SliceMap& slices) const;
-  /// Whether a server must not be sent to any more.
-  [[nodiscard]] bool isLeaving(const ServerState& server) const;
-  /// Whether proxies can send to a server, and may.
+  /// Whether a server must no longer receive requests: it is an outlier, or is not ready in a current list.
+  [[nodiscard]] bool mustBeVacated(const ServerState& server) const;
+  /// Whether proxies may send requests to a server, and no published ejection prevents it.
   [[nodiscard]] bool isRoutable(const ServerState& server) const {
-    return !server.ejection.mayBeInForce() && !isLeaving(server);
+    return !server.ejection.mayBeInForce() && !mustBeVacated(server);
   }
 
  private:
-  /// How a server stands in the published tables.
+  /// How the published tables of this supervisor's slices use a server.
   struct TableUse {
-    bool isPublished;      // in any of them
-    bool isIndispensable;  // in one without a routable server
-    bool isStale;          // in one that no longer wants it
+    bool isPublished;      // a table has a route to it
+    bool isIndispensable;  // a table with a route to it has no route to a routable server
+    bool isStale;          // a table has a route to it that the desired table lacks
   };
 
+  /// `deliveryTime`: time until an update sent now has reached every proxy.
   [[nodiscard]] bool shouldBeEjected(const ServerState& server, const TableUse& use,
                                      Micros deliveryTime) const;
 
--- a/src/decision/endpoint_list.h
+++ b/src/decision/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list: its subscription, and what its updates say of the servers.
+// Subscription to the endpoint list, and application of its updates to the server records.
 #pragma once
 
 #include "decision/action_queue.h"
@@ -9,22 +9,25 @@
 
 namespace peargrade::decision {
 
-/// Keeps the endpoint list subscribed where it must be requested, and takes its updates into the servers.
+/// Subscribes to the endpoint list, again after failures, where the list is only sent on request. Applies the
+/// list's updates to the server records.
 class EndpointList {
  public:
   EndpointList(const Settings& settings, const Clock& clock, Random& random)
       : settings_(settings), clock_(clock), random_(random) {}
 
   void apply(const EndpointListUpdate& update, ServerMap& servers);
-  /// Called at the start of each decision: subscribes when it is due, and decides whether a cached list
-  /// holds. `engineStartedAt`: when the engine handled its first batch.
+  /// Called at the start of each decision. Subscribes if an attempt is due, and decides whether a cached list
+  /// now counts as current. `engineStartedAt`: time of the engine's first batch of events.
   void refresh(Micros engineStartedAt, ActionQueue& actions);
-  /// Whether the list as known holds: a cached one may not know a new server yet.
+  /// Whether a server that the list does not name may be treated as removed. A cached list may be out of date
+  /// and lack new servers, so it is not current until it is confirmed.
   [[nodiscard]] bool isCurrent() const { return isCurrent_; }
-  /// Whether servers were seen draining lately, as in a rolling restart.
-  [[nodiscard]] bool isRollingRestart() const { return clock_.now() < rollingUntil_; }
+  /// Whether a server started to drain recently, as happens during a rolling restart.
+  [[nodiscard]] bool isRollingRestart() const { return clock_.now() < rollingRestartUntil_; }
 
  private:
+  /// Schedules the next attempt to subscribe after a failure.
   void backOff();
   void applyEndpoint(const Endpoint& endpoint, bool isCached, ServerState& server);
 
@@ -34,11 +37,11 @@
   bool isCurrent_ = false;
   bool isSubscribed_ = false;
   Micros nextAttemptAt_ = 0;
-  Micros backoff_ = kFirstBackoff;
-  Micros rollingUntil_ = 0;
+  Micros backoff_ = kInitialBackoff;
+  Micros rollingRestartUntil_ = 0;
 
-  /// Backoff after the first failed request of the list.
-  static constexpr Micros kFirstBackoff = 250 * kMillisecond;
+  /// Start of the exponential backoff: it is doubled before each use.
+  static constexpr Micros kInitialBackoff = 250 * kMillisecond;
 };
 
 }  // namespace peargrade::decision
--- a/src/decision/outlier_detector.h
+++ b/src/decision/outlier_detector.h
@@ -1,4 +1,4 @@
-// Outlier detection: servers that fail where most others do well.
+// Outlier detection: finds servers whose attempts fail far more often than those at the other servers.
 #pragma once
 
 #include "decision/action_queue.h"
@@ -7,20 +7,22 @@
 
 namespace peargrade::decision {
 
-/// Evaluates every server by its load reports, whatever makes it useless: quick errors, refused or silent
-/// connections. A slow server that rejects requests is overloaded, no outlier: to leave it would only pass
-/// the load on. Also starts health checks of servers that never answered, and judges whether a server that
-/// the list dropped is still alive.
+/// Detects outliers from the share of failed attempts in load reports, whatever the cause: errors, refused
+/// connections or timeouts. A server that is slow and rejects some requests is overloaded rather than an
+/// outlier: moving its slices would only overload other servers. Also starts health checks of unconfirmed
+/// servers, and detects servers that still answer although the endpoint list no longer names them.
 class OutlierDetector {
  public:
   OutlierDetector(const Settings& settings, const Clock& clock, ActionQueue& actions)
       : settings_(settings), clock_(clock), actions_(actions) {}
 
-  /// `fleetCounts`: attempts at all servers. Called once for each decision.
+  /// Called once for each decision. `fleetCounts`: attempts and failures summed over all servers.
   void detect(ServerMap& servers, const AttemptCounts& fleetCounts);
 
  private:
+  /// Ends the ejection time of an outlier and discards the reports that made it one.
   void release(const ServerId& id, ServerState& server);
+  /// Starts a health check of an unconfirmed server if one is due.
   void checkHealth(const ServerId& id, ServerState& server);
   [[nodiscard]] bool isOutlier(const ServerState& server, const AttemptCounts& fleetCounts) const;
 
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,21 +1,24 @@
-// Which failed attempts proxies retry.
+// Choice of the retry policy of a request class.
 #pragma once
 
 #include "peargrade/settings.h"
 
 namespace peargrade::decision {
 
-/// The retry policy of a class. A retry never executes a request twice that must be executed once. Retries
-/// after any failure also repeat attempts that timed out: in overload, or where the attempt timeout is not
-/// within the latency objective, that only adds load.
+/// The retry policy of a class. Requests that are not idempotent are retried only if the failed attempt was
+/// certainly not executed. RetryPolicy::AnyFailure also repeats attempts that timed out. In overload, or if
+/// the attempt timeout is not shorter than the latency objective, such a retry only adds load, so it is not
+/// used.
 [[nodiscard]] inline RetryPolicy retryPolicyOf(const RequestClass& requestClass, const Settings& settings,
                                                bool isOverloaded) {
-  const bool isInTime = settings.attemptTimeoutObjectives < 1;
-  const bool retriesAny = requestClass.idempotency == Idempotency::Idempotent && isInTime && !isOverloaded;
-  return retriesAny ? RetryPolicy::AnyFailure : RetryPolicy::IfNotExecuted;
+  const bool timesOutInTime = settings.attemptTimeoutObjectives < 1;
+  const bool retriesAnyFailure =
+      requestClass.idempotency == Idempotency::Idempotent && timesOutInTime && !isOverloaded;
+  return retriesAnyFailure ? RetryPolicy::AnyFailure : RetryPolicy::IfNotExecuted;
 }
 
-/// Whether both settings give the same retry policies: what was published then stands.
+/// Whether both settings yield the same retry policies, so that published policies remain valid. Both must
+/// have the same number of classes.
 [[nodiscard]] bool haveSameRetryPolicies(const Settings& a, const Settings& b);
 
 }  // namespace peargrade::decision
--- a/src/decision/route_planner.h
+++ b/src/decision/route_planner.h
@@ -1,4 +1,4 @@
-// The changed routes of a slice, by priority.
+// Assigns priorities to the changed routes of a slice.
 #pragma once
 
 #include <vector>
@@ -10,17 +10,21 @@
 
 namespace peargrade::decision {
 
-/// Splits a slice's changed routes into two updates: the primary route with removals of routable servers, and
-/// the rest, backup routes and routes to ejected servers, which comes later.
+/// Splits the changed routes of a slice into two updates. The first has the route to the primary server and
+/// removals of routes to routable servers. The second has the less urgent rest: backup routes, and removals
+/// of routes that proxies do not use because their server is ejected.
 class RoutePlanner {
  public:
   explicit RoutePlanner(const EjectionPlanner& ejections) : ejections_(ejections) {}
 
+  /// Appends the updates of a slice to `updates`.
   void plan(TableId table, const SliceState& slice, const ServerMap& servers,
             std::vector<PendingUpdate>& updates) const;
 
  private:
+  /// Whether the published table has a route to a ready server that is not ejected.
   [[nodiscard]] static bool hasUsableRoute(const SliceState& slice, const ServerMap& servers);
+  /// Whether the slice is migrating off a server that cannot keep it.
   [[nodiscard]] bool isEvacuating(const SliceState& slice, const ServerMap& servers) const;
 
   const EjectionPlanner& ejections_;
--- a/src/decision/slice_handover.cpp
+++ b/src/decision/slice_handover.cpp
@@ -7,12 +7,12 @@
 
 std::vector<Action> SliceHandover::nextRoutes(TableId table, const SliceState& slice) const {
   if (!settings_.hasSingleOwnerSlices() || slice.isPublished()) return {};
-  const bool ownerStays = !slice.published.empty() && !slice.desired.empty() &&
-                          slice.published.begin()->first == slice.desired.begin()->first;
-  if (!slice.published.empty() && !ownerStays) return {SetRoute{table, slice.published.begin()->first, 0}};
+  const bool isSameOwner = !slice.published.empty() && !slice.desired.empty() &&
+                           slice.published.begin()->first == slice.desired.begin()->first;
+  if (!slice.published.empty() && !isSameOwner) return {SetRoute{table, slice.published.begin()->first, 0}};
   const Handover& handover = slice.handover;
-  const bool mayBegin = clock_.now() >= handover.earliestAt && handover.unacknowledgedBy.empty();
-  return mayBegin ? slice.changedRoutes(table) : std::vector<Action>{};
+  const bool canSetNewOwner = clock_.now() >= handover.earliestAt && handover.unacknowledgedBy.empty();
+  return canSetNewOwner ? slice.changedRoutes(table) : std::vector<Action>{};
 }
 
 void SliceHandover::beginHandover(SliceState& slice, std::set<ProxyId> proxies, int updateId) {
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -8,14 +8,14 @@
 namespace peargrade::decision {
 namespace {
 
-/// Share of its capacity that a warming server counts for, since its caches are cold too.
-constexpr double kWarmingShare = 0.85;
+/// Factor on the warm-up fraction of a warming server: cold caches make its requests more expensive.
+constexpr double kColdCacheFactor = 0.85;
 /// The same while the fleet is overloaded.
-constexpr double kWarmingShareInOverload = 0.7;
-/// Share of the overload factor that a warming server that answers at ease counts for.
-constexpr double kAtEaseShare = 0.5;
-/// Share of the overload limit that placements may use.
-constexpr double kOverloadHeadroom = 0.67;
+constexpr double kColdCacheFactorInOverload = 0.7;
+/// Factor on the warm-up fraction of a relaxed warming server, as a share of Settings::overloadFactor.
+constexpr double kRelaxedOverloadShare = 0.5;
+/// Share of a warming server's overload limit up to which slices are placed on it.
+constexpr double kPlacementShareOfOverload = 0.67;
 
 }  // namespace
 
@@ -24,16 +24,17 @@
 double SlowStart::warmUpFraction(const ServerState& server) const {
   if (!isWarmingUp(server)) return 1;
   const auto sinceStart = static_cast<double>(clock_.now() - server.endpoint.startedAt);
-  const double age = std::max(0.0, sinceStart / static_cast<double>(settings_.slowStartWindow));
-  return settings_.initialCapacity + (1 - settings_.initialCapacity) * age;
+  const double progress = std::max(0.0, sinceStart / static_cast<double>(settings_.slowStartWindow));
+  return settings_.initialCapacity + (1 - settings_.initialCapacity) * progress;
 }
 
 double SlowStart::rampFactor(const ServerState& server) const {
   if (!isWarmingUp(server)) return 1;
-  const double least = isFleetOverloaded() ? kWarmingShareInOverload : kWarmingShare;
+  const double minShare = isFleetOverloaded() ? kColdCacheFactorInOverload : kColdCacheFactor;
   const double pressure = server.reports.pressure;
-  const bool isAtEase = pressure > 0 && pressure < kRelaxedPressure;
-  const double share = isAtEase ? std::max(least, settings_.overloadFactor * kAtEaseShare) : least;
+  const bool isRelaxed = pressure > 0 && pressure < kRelaxedPressure;
+  const double share =
+      isRelaxed ? std::max(minShare, settings_.overloadFactor * kRelaxedOverloadShare) : minShare;
   return std::min(1.0, share * warmUpFraction(server));
 }
 
@@ -45,8 +46,8 @@
   if (!isWarmingUp(server)) return true;
   const double sustainedHeat = admission_.sustainedHeatPerWeight();
   if (sustainedHeat <= 0) return true;
-  const double limit = kOverloadHeadroom * settings_.overloadFactor * sustainedHeat * listedWeight(server) *
-                       warmUpFraction(server);
+  const double limit = kPlacementShareOfOverload * settings_.overloadFactor * sustainedHeat *
+                       listedWeight(server) * warmUpFraction(server);
   return admission_.admittedShare() * fleetScale * (server.load.ownHeat + extraHeat) <= limit;
 }
 
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -1,4 +1,4 @@
-// Weights of the servers, and what a server that has just started can take.
+// Server weights, and the reduced capacity of servers that are still warming up.
 #pragma once
 
 #include "decision/server_state.h"
@@ -8,8 +8,8 @@
 
 class AdmissionController;
 
-/// Slow start: the capacity of a server that warms up grows from the stated initial capacity to its full size
-/// over the slow start window.
+/// Slow start: the capacity of a server that is warming up grows linearly from Settings::initialCapacity to 1
+/// over Settings::slowStartWindow, counted from the start of its process.
 class SlowStart {
  public:
   SlowStart(const Settings& settings, const Clock& clock, const AdmissionController& admission)
@@ -19,19 +19,21 @@
     return server.startedWithin(clock_.now(), settings_.slowStartWindow);
   }
   [[nodiscard]] bool isFleetOverloaded() const;
-  /// The share of its capacity that a server has by the settings, 0 to 1.
+  /// The share of its full capacity that the settings give a server of this age, 0 to 1; 1 if it is warm.
   [[nodiscard]] double warmUpFraction(const ServerState& server) const;
-  /// The share of its weight that a server counts for, 0 to 1: the warm-up fraction is the least, and one
-  /// that answers at ease counts for more.
+  /// The factor by which a server's weight is multiplied when load is distributed, 0 to 1; 1 if it is warm.
+  /// For a warming server it is the warm-up fraction, reduced because its caches are cold, or raised while
+  /// load reports show that the server is relaxed.
   [[nodiscard]] double rampFactor(const ServerState& server) const;
-  /// The weight by the endpoint list; 1 where the list's weights mean nothing.
+  /// The weight in the endpoint list; 1 where Settings::endpointsHaveWeights is false.
   [[nodiscard]] double listedWeight(const ServerState& server) const;
-  /// The listed weight corrected by the capacity estimate, as if the server were warm.
+  /// The full weight of a server once it is warm: its listed weight times its estimated capacity factor.
   [[nodiscard]] double weight(const ServerState& server) const {
     return server.capacity.factor * listedWeight(server);
   }
   /// Whether a warming server stays below its overload limit even if every supervisor adds `extraHeat` to it
-  /// at once. `fleetScale`: the fleet's heat against this supervisor's own.
+  /// at once. Always true for a warm server. `fleetScale`: the fleet's heat divided by the heat of this
+  /// supervisor's slices.
   [[nodiscard]] bool canAbsorb(const ServerState& server, double extraHeat, double fleetScale) const;
 
  private:
--- a/src/decision/update_budget.cpp
+++ b/src/decision/update_budget.cpp
@@ -7,29 +7,32 @@
 namespace peargrade::decision {
 namespace {
 
-/// What a priority may use.
-struct PriorityShare {
-  double messages;  // share of the message limit
-  double routes;    // share of the pending limit
+/// The share of each limit up to which updates of a priority may be sent. The rest is reserved for more
+/// urgent updates.
+struct LimitShares {
+  double messages;  // of the message limit
+  double routes;    // of the pending limit
 };
 
-/// By priority.
-constexpr std::array<PriorityShare, 5> kShares{{
+/// Indexed by UpdatePriority.
+constexpr std::array<LimitShares, 5> kLimitShares{{
     {0.95, 0.9},
     {0.7, 0.75},
     {0.55, 0.6},
     {0.5, 0.5},
     {0.4, 0.25},
 }};
-/// Without acknowledgements the channel is taken to be so many times slower than stated.
-constexpr double kSlowestChannel = 16;
-/// An update waits for this share of a message's capacity.
-constexpr double kLeastMessageShare = 0.25;
-/// Interval of updates without evacuations.
-constexpr Micros kRoutineInterval = 500 * kMillisecond;
-
-const PriorityShare& shareOf(UpdatePriority priority) {
-  return kShares.at(static_cast<std::size_t>(priority));
+/// While acknowledgements are missing, the channel is assumed to be this many times slower than the settings
+/// state.
+constexpr double kMaxChannelSlowdown = 16;
+/// An update that cannot be sent completely waits until the channel has this share of its empty capacity.
+/// Otherwise many small messages would use up the message limit.
+constexpr double kMinMessageShare = 0.25;
+/// Shortest interval between an update and a following one that is less urgent than an evacuation.
+constexpr Micros kRoutineUpdateInterval = 500 * kMillisecond;
+
+const LimitShares& limitSharesOf(UpdatePriority priority) {
+  return kLimitShares.at(static_cast<std::size_t>(priority));
 }
 
 }  // namespace
@@ -39,42 +42,43 @@
 }
 
 double UpdateBudget::receivers() const {
-  const double announced = settings_.slices > 0 ? static_cast<double>(settings_.proxies) : 0.0;
-  return std::max({1.0, channel_.proxyCount(), announced});
+  const double configuredProxies = settings_.slices > 0 ? static_cast<double>(settings_.proxies) : 0.0;
+  return std::max({1.0, channel_.proxyCount(), configuredProxies});
 }
 
-double UpdateBudget::slowestRate() const { return settings_.routesPerSecond / kSlowestChannel; }
+double UpdateBudget::slowestRate() const { return settings_.routesPerSecond / kMaxChannelSlowdown; }
 
 double UpdateBudget::messageOverhead() const {
   return settings_.messageOverheadRoutes + static_cast<double>(settings_.classes.size()) + 1;
 }
 
 double UpdateBudget::emptyChannelCapacity(UpdatePriority priority) const {
-  return settings_.pendingRoutesMax * shareOf(priority).routes / receivers();
+  return settings_.pendingRoutesMax * limitSharesOf(priority).routes / receivers();
 }
 
 double UpdateBudget::capacityLeft(UpdatePriority priority) const {
-  const double routes = settings_.pendingRoutesMax * shareOf(priority).routes - routesInFlight();
+  const double routes = settings_.pendingRoutesMax * limitSharesOf(priority).routes - routesInFlight();
   return routes / receivers() - messageOverhead();
 }
 
-bool UpdateBudget::hasMessageLeft(UpdatePriority priority) {
+bool UpdateBudget::isWithinMessageLimit(UpdatePriority priority) {
   if (settings_.messagesPerProxyMax <= 0) return true;
-  const double mostMessages = shareOf(priority).messages * settings_.messagesPerProxyMax;
-  return channel_.messagesWithin(clock_.now(), settings_.messageWindow) < mostMessages;
+  const double maxMessages = limitSharesOf(priority).messages * settings_.messagesPerProxyMax;
+  return channel_.messagesWithin(clock_.now(), settings_.messageWindow) < maxMessages;
 }
 
-bool UpdateBudget::mayAskForAcknowledgements() {
-  if (!acknowledgementsMissed_ || !hasMessageLeft(UpdatePriority::Critical)) return false;
+bool UpdateBudget::canRequestAcknowledgements() {
+  if (!acknowledgementsMissed_ || !isWithinMessageLimit(UpdatePriority::Critical)) return false;
   return routesInFlight() + messageOverhead() * receivers() <= settings_.pendingRoutesMax;
 }
 
-bool UpdateBudget::maySend(UpdatePriority first, double routes, bool isRetry) {
-  if (!hasMessageLeft(first)) return false;
-  const bool goesInParts = isRetry || acknowledgementsMissed_;
-  const double least = goesInParts ? 1 : kLeastMessageShare * emptyChannelCapacity(first);
-  if (routesInFlight() > 0 && capacityLeft(first) < std::min(routes, least)) return false;
-  return first <= UpdatePriority::Evacuation || clock_.now() - lastSentAt_ >= kRoutineInterval;
+bool UpdateBudget::canSend(UpdatePriority highestPriority, double routes, bool isRetry) {
+  if (!isWithinMessageLimit(highestPriority)) return false;
+  const bool allowsAnyCapacity = isRetry || acknowledgementsMissed_;
+  const double minRoutes = allowsAnyCapacity ? 1 : kMinMessageShare * emptyChannelCapacity(highestPriority);
+  if (routesInFlight() > 0 && capacityLeft(highestPriority) < std::min(routes, minRoutes)) return false;
+  return highestPriority <= UpdatePriority::Evacuation ||
+         clock_.now() - lastSentAt_ >= kRoutineUpdateInterval;
 }
 
 int UpdateBudget::send(double routes) {
--- a/src/decision/update_budget.h
+++ b/src/decision/update_budget.h
@@ -1,4 +1,4 @@
-// What may be sent now: the limits of messages and of routes in flight, by priority.
+// Rate limits of updates: messages to each proxy, and routes in flight in the update channel.
 #pragma once
 
 #include <vector>
@@ -10,19 +10,19 @@
 
 namespace peargrade::decision {
 
-/// Priorities of an update's parts, the most urgent first.
+/// Priorities of the parts of an update, the most urgent first.
 enum class UpdatePriority {
-  Critical,    // a table without a routable server, changes of owner, ejections
-  Evacuation,  // slices off servers that cannot keep them, lower ratios on warming servers
+  Critical,    // routes of a table without a usable server, changes of owner, ejections
+  Evacuation,  // migrations off servers that cannot keep their slices, lower ratios on warming servers
   Admission,   // other admission ratios
   Migration,   // other changes of primary servers
-  Backup,      // backup routes, and routes to what is ejected
+  Backup,      // backup routes, removal of routes to ejected servers
 };
 
-/// Actions that are sent together.
+/// Actions that are sent in the same update or not at all.
 struct PendingUpdate {
   UpdatePriority priority;
-  /// Within a priority, the least first: the negative heat.
+  /// Order within a priority, ascending. It is the negative heat, so that hot slices come first.
   double order;
   TableId table;
   std::vector<Action> actions;
@@ -30,41 +30,50 @@
   bool operator<(const PendingUpdate& other) const;
 };
 
-/// Keeps an update within the message limit and the pending limit. Each priority may use a share of both.
+/// Keeps updates within two limits of the settings: the message limit (messagesPerProxyMax) and the pending
+/// limit (pendingRoutesMax). Each priority may use only a share of both, so that less urgent updates leave
+/// capacity for more urgent ones.
 class UpdateBudget {
  public:
   UpdateBudget(const Settings& settings, const Clock& clock, UpdateChannel& channel)
       : settings_(settings), clock_(clock), channel_(channel) {}
 
-  /// Proxies that a message may go to: with slices the whole fleet may be there before its events are read.
+  /// Upper bound of the number of proxies that receive an update. With slices, every proxy of the fleet may
+  /// be connected already although its event has not been read yet.
   [[nodiscard]] double receivers() const;
-  /// Routes in flight. A channel may be slower than the settings say: what no proxy acknowledged counts.
+  /// Routes in flight, summed over the proxies. The channel may be slower than the settings state, so routes
+  /// count until they are acknowledged or the slowest rate has transmitted them.
   [[nodiscard]] double routesInFlight() const { return channel_.routesInFlight(clock_.now(), slowestRate()); }
-  /// Overhead of a message in routes: the fleet's ratios and the acknowledgement request ride along.
+  /// Overhead of a message, in routes: includes the fleet's ratios and the acknowledgement request.
   [[nodiscard]] double messageOverhead() const;
-  /// Routes to each proxy that an empty channel holds.
+  /// Routes to each proxy, overhead included, for which an empty channel has capacity.
   [[nodiscard]] double emptyChannelCapacity(UpdatePriority priority) const;
-  /// Routes that a message to each proxy may hold now.
+  /// Routes to each proxy, without overhead, for which the channel has capacity now. May be negative.
   [[nodiscard]] double capacityLeft(UpdatePriority priority) const;
-  /// Whether an update that starts with a priority, and has so many routes of it, may go now. An update waits
-  /// for capacity for all of them or a good part of a message; after an incomplete delivery or missed
-  /// acknowledgements for any, since its acknowledgement shows what has left.
-  [[nodiscard]] bool maySend(UpdatePriority first, double routes, bool isRetry);
-  /// The acknowledgements of updates sent so far may never be seen: the next update makes up for them.
+  /// Whether an update may be sent now whose most urgent priority is `highestPriority`, with `routes` routes
+  /// of that priority. Normally there must be capacity for all of these or for a minimum share of a message.
+  /// After an incomplete delivery (`isRetry`) or missed acknowledgements, capacity for one route suffices,
+  /// since the acknowledgement of any update shows which earlier routes are no longer in flight.
+  [[nodiscard]] bool canSend(UpdatePriority highestPriority, double routes, bool isRetry);
+  /// Records that acknowledgements of the updates sent so far may have been lost. The acknowledgement of a
+  /// later update replaces them.
   void recordMissedAcknowledgements() { acknowledgementsMissed_ = true; }
-  /// Whether acknowledgements were missed, nothing was sent since, and an update that only asks for them may
-  /// go now. It may use the whole pending limit: nothing is sent before what it shows is known.
-  [[nodiscard]] bool mayAskForAcknowledgements();
-  /// Records an update as sent now. Returns its id.
+  /// Whether acknowledgements were missed, nothing was sent since, and an update that consists only of an
+  /// acknowledgement request may be sent now. It may use the complete pending limit, since its
+  /// acknowledgement frees capacity for all later updates.
+  [[nodiscard]] bool canRequestAcknowledgements();
+  /// Records an update of `routes` routes to each proxy as sent now. Returns its id.
   int send(double routes);
+  /// Records that the last update entered the channel in `messages` messages to each proxy; 0: it did not.
   void recordDelivery(int messages);
-  /// When the last update was sent; 0: never.
+  /// When the last update was sent; 0: none yet.
   [[nodiscard]] Micros lastSentAt() const { return lastSentAt_; }
 
  private:
+  /// Routes per second that the channel is assumed to transmit at least.
   [[nodiscard]] double slowestRate() const;
-  /// Whether the message limit lets a message of this priority through.
-  [[nodiscard]] bool hasMessageLeft(UpdatePriority priority);
+  /// Whether the message limit allows another message of this priority now.
+  [[nodiscard]] bool isWithinMessageLimit(UpdatePriority priority);
 
   const Settings& settings_;
   const Clock& clock_;
--- a/src/decision/update_channel.cpp
+++ b/src/decision/update_channel.cpp
@@ -9,68 +9,71 @@
 
 std::set<ProxyId> UpdateChannel::proxies() const {
   std::set<ProxyId> ids;
-  for (const auto& [proxy, routes] : acknowledgedBy_) ids.insert(proxy);
+  for (const auto& [proxy, routes] : acknowledgedByProxy_) ids.insert(proxy);
   return ids;
 }
 
 void UpdateChannel::connect(ProxyId proxy, Micros since) {
-  const auto [it, isNew] = acknowledgedBy_.try_emplace(proxy, sent_);
+  const auto [it, isNew] = acknowledgedByProxy_.try_emplace(proxy, sentRoutes_);
   if (!isNew) return;
   for (const auto& [id, update] : updates_) {
-    const bool mayHaveGone = update.sentAt >= since || (isDeliveryPending_ && id == lastUpdateId_);
-    if (mayHaveGone) it->second = std::min(it->second, update.firstRoute);
+    const bool mayBeInFlight = update.sentAt >= since || (isDeliveryPending_ && id == lastUpdateId_);
+    if (mayBeInFlight) it->second = std::min(it->second, update.firstRoute);
   }
-  it->second = std::max(it->second, left_);
-  acknowledged_ += it->second;
-  connectedAt_[proxy] = it->second;
+  it->second = std::max(it->second, transmittedRoutes_);
+  acknowledgedRoutes_ += it->second;
+  firstRouteByProxy_[proxy] = it->second;
 }
 
 void UpdateChannel::disconnect(ProxyId proxy, Micros since) {
-  const auto it = acknowledgedBy_.find(proxy);
-  if (it == acknowledgedBy_.end()) return;
+  const auto it = acknowledgedByProxy_.find(proxy);
+  if (it == acknowledgedByProxy_.end()) return;
   const double acknowledged = it->second;
-  const double inFlight = sent_ - acknowledged;
-  acknowledged_ -= acknowledged;
-  acknowledgedBy_.erase(it);
-  connectedAt_.erase(proxy);
-  departedRoutesCurrent_ = false;
+  const double inFlight = sentRoutes_ - acknowledged;
+  acknowledgedRoutes_ -= acknowledged;
+  acknowledgedByProxy_.erase(it);
+  firstRouteByProxy_.erase(proxy);
+  areDisconnectedRoutesCurrent_ = false;
   if (inFlight <= 0) return;
-  departed_[{sent_, acknowledged}] += 1;
-  nextInQueue_ -= inFlight;
+  disconnectedRanges_[{sentRoutes_, acknowledged}] += 1;
+  queueTail_ -= inFlight;
   for (auto& [id, update] : updates_) update.queueStart -= update.sentAt >= since ? inFlight : 0;
 }
 
 bool UpdateChannel::acknowledge(ProxyId proxy, int updateId) {
-  const auto it = acknowledgedBy_.find(proxy);
+  const auto it = acknowledgedByProxy_.find(proxy);
   const auto update = updates_.find(updateId);
-  if (it == acknowledgedBy_.end() || update == updates_.end()) return false;
-  raise(it->second, update->second.endRoute);
-  departedRoutesCurrent_ = false;
-  markLeft(update->second);
+  if (it == acknowledgedByProxy_.end() || update == updates_.end()) return false;
+  raiseAcknowledged(it->second, update->second.endRoute);
+  areDisconnectedRoutesCurrent_ = false;
+  markTransmitted(update->second);
   return true;
 }
 
-// Whatever stands before an acknowledged update in the queue has left the channel, for all proxies.
-void UpdateChannel::markLeft(const Update& acknowledged) {
-  double left = acknowledged.firstRoute;
+// All updates that are entirely before the acknowledged one in the queue were transmitted to all proxies. The
+// position up to which this holds is the start of the first update that may not be before it.
+void UpdateChannel::markTransmitted(const Update& acknowledged) {
+  double transmitted = acknowledged.firstRoute;
   for (const auto& [id, other] : updates_) {
-    if (other.queueEnd > acknowledged.queueStart) left = std::min(left, other.firstRoute);
+    if (other.queueEnd > acknowledged.queueStart) transmitted = std::min(transmitted, other.firstRoute);
   }
-  if (left <= left_) return;
-  left_ = left;
-  for (auto& [proxy, routes] : acknowledgedBy_) raise(routes, left_);
-  while (!departed_.empty() && departed_.begin()->first.first <= left_) departed_.erase(departed_.begin());
+  if (transmitted <= transmittedRoutes_) return;
+  transmittedRoutes_ = transmitted;
+  for (auto& [proxy, routes] : acknowledgedByProxy_) raiseAcknowledged(routes, transmittedRoutes_);
+  while (!disconnectedRanges_.empty() && disconnectedRanges_.begin()->first.first <= transmittedRoutes_)
+    disconnectedRanges_.erase(disconnectedRanges_.begin());
 }
 
 int UpdateChannel::send(Micros now, double routes, double receivers, double slowestRate) {
-  queued_ = routesInFlight(now, slowestRate) + routes * std::max(receivers, proxyCount());
+  queuedRoutes_ = routesInFlight(now, slowestRate) + routes * std::max(receivers, proxyCount());
   queuedAt_ = now;
   messageTimes_.push_back(now);
   lastUpdateId_ = nextUpdateId();
-  updates_[lastUpdateId_] = {now, sent_, sent_ + routes, nextInQueue_, nextInQueue_ + routes * proxyCount()};
-  nextInQueue_ += routes * proxyCount();
-  sent_ += routes;
-  forgetAcknowledged();
+  updates_[lastUpdateId_] = {now, sentRoutes_, sentRoutes_ + routes, queueTail_,
+                             queueTail_ + routes * proxyCount()};
+  queueTail_ += routes * proxyCount();
+  sentRoutes_ += routes;
+  eraseAcknowledgedUpdates();
   return lastUpdateId_;
 }
 
@@ -80,37 +83,37 @@
   if (it == updates_.end()) return;
   Update& update = it->second;
   const double extra = messages > 0 ? (messages - 1) * overhead : update.firstRoute - update.endRoute;
-  queued_ = std::max(0.0, queued_ + extra * std::max(receivers, proxyCount()));
-  sent_ += extra;
-  nextInQueue_ += extra * proxyCount();
+  queuedRoutes_ = std::max(0.0, queuedRoutes_ + extra * std::max(receivers, proxyCount()));
+  sentRoutes_ += extra;
+  queueTail_ += extra * proxyCount();
   queuedAt_ = now;
   update.sentAt = now;
   update.endRoute += extra;
   update.queueEnd += extra * proxyCount();
   messageTimes_.resize(messageTimes_.size() - std::min<std::size_t>(messageTimes_.size(), 1));
   for (int message = 0; message < messages; ++message) messageTimes_.push_back(now);
-  for (auto& [proxy, routes] : acknowledgedBy_) {
-    acknowledged_ += std::min(routes, sent_) - routes;
-    routes = std::min(routes, sent_);
+  for (auto& [proxy, routes] : acknowledgedByProxy_) {
+    acknowledgedRoutes_ += std::min(routes, sentRoutes_) - routes;
+    routes = std::min(routes, sentRoutes_);
   }
-  extendDeparted(update.firstRoute, extra);
-  departedRoutesCurrent_ = false;
+  resizeDisconnectedRanges(update.firstRoute, extra);
+  areDisconnectedRoutesCurrent_ = false;
   if (messages == 0) updates_.erase(it);
 }
 
-// Ranges in flight to disconnected proxies that reach into the last update grow or shrink with it.
-void UpdateChannel::extendDeparted(double firstRoute, double extra) {
-  const auto departed = std::exchange(departed_, {});
-  for (const auto& [range, count] : departed) {
+// A range that reaches into the last update grows or shrinks with it; one that becomes empty is dropped.
+void UpdateChannel::resizeDisconnectedRanges(double firstRoute, double extra) {
+  const auto oldRanges = std::exchange(disconnectedRanges_, {});
+  for (const auto& [range, count] : oldRanges) {
     const double end = range.first + (range.first > firstRoute ? extra : 0);
-    if (end > range.second) departed_[{end, range.second}] += count;
+    if (end > range.second) disconnectedRanges_[{end, range.second}] += count;
   }
 }
 
 double UpdateChannel::routesInFlight(Micros now, double slowestRate) const {
-  const double drained = static_cast<double>(now - queuedAt_) / kSecond * slowestRate;
-  return std::max(0.0,
-                  std::min(queued_ - drained, sent_ * proxyCount() - acknowledged_ + routesForDeparted()));
+  const double transmitted = static_cast<double>(now - queuedAt_) / kSecond * slowestRate;
+  return std::max(0.0, std::min(queuedRoutes_ - transmitted,
+                                sentRoutes_ * proxyCount() - acknowledgedRoutes_ + routesToDisconnected()));
 }
 
 double UpdateChannel::messagesWithin(Micros now, Micros window) {
@@ -118,40 +121,43 @@
   return static_cast<double>(messageTimes_.size());
 }
 
-void UpdateChannel::raise(double& acknowledged, double to) {
-  if (acknowledged >= to) return;
-  acknowledged_ += to - acknowledged;
-  acknowledged = to;
+void UpdateChannel::raiseAcknowledged(double& acknowledged, double position) {
+  if (acknowledged >= position) return;
+  acknowledgedRoutes_ += position - acknowledged;
+  acknowledged = position;
 }
 
-// The copies of an update leave in an order that does not depend on which proxies disconnected. Of what is in
-// flight to those, as large a part has left as of what was sent with it to the proxies still connected.
-double UpdateChannel::routesForDeparted() const {
-  if (std::exchange(departedRoutesCurrent_, true)) return departedRoutes_;
-  departedRoutes_ = 0;
-  for (const auto& [range, count] : departed_) {
-    const auto [end, begin] = range;
+// The order in which the copies of an update are transmitted does not depend on which proxies disconnect.
+// So of a range in flight to a disconnected proxy, the share that is still queued is estimated as the mean
+// share that is unacknowledged by the connected proxies that were sent the complete range.
+double UpdateChannel::routesToDisconnected() const {
+  if (std::exchange(areDisconnectedRoutesCurrent_, true)) return disconnectedRoutes_;
+  disconnectedRoutes_ = 0;
+  for (const auto& [range, count] : disconnectedRanges_) {
+    const auto [end, start] = range;
     double inFlight = 0;
-    double witnesses = 0;
-    for (const auto& [proxy, acknowledged] : acknowledgedBy_) {
-      if (connectedAt_.at(proxy) > begin) continue;
-      inFlight += std::max(0.0, end - std::max(begin, acknowledged));
-      witnesses += 1;
+    double receivingProxies = 0;
+    for (const auto& [proxy, acknowledged] : acknowledgedByProxy_) {
+      if (firstRouteByProxy_.at(proxy) > start) continue;
+      inFlight += std::max(0.0, end - std::max(start, acknowledged));
+      receivingProxies += 1;
     }
-    const double all = std::max(0.0, end - std::max(begin, left_));
-    departedRoutes_ += count * (witnesses > 0 ? inFlight / witnesses : all);
+    const double untransmitted = std::max(0.0, end - std::max(start, transmittedRoutes_));
+    disconnectedRoutes_ += count * (receivingProxies > 0 ? inFlight / receivingProxies : untransmitted);
   }
-  return departedRoutes_;
+  return disconnectedRoutes_;
 }
 
-// The record of an update that every proxy acknowledged has no further use; kept, records would grow with
-// time.
-void UpdateChannel::forgetAcknowledged() {
-  double least = sent_;
-  for (const auto& [proxy, routes] : acknowledgedBy_) least = std::min(least, routes);
-  for (const auto& [range, count] : departed_) least = std::min(least, std::max(range.second, left_));
+// Erases the records of updates that every proxy has acknowledged, which would otherwise grow without bound.
+// The last update is kept, since recordDelivery may still change it.
+void UpdateChannel::eraseAcknowledgedUpdates() {
+  double acknowledgedByAll = sentRoutes_;
+  for (const auto& [proxy, routes] : acknowledgedByProxy_)
+    acknowledgedByAll = std::min(acknowledgedByAll, routes);
+  for (const auto& [range, count] : disconnectedRanges_)
+    acknowledgedByAll = std::min(acknowledgedByAll, std::max(range.second, transmittedRoutes_));
   for (auto it = updates_.begin(); it != updates_.end();) {
-    const bool isObsolete = it->first != lastUpdateId_ && it->second.endRoute <= least;
+    const bool isObsolete = it->first != lastUpdateId_ && it->second.endRoute <= acknowledgedByAll;
     it = isObsolete ? updates_.erase(it) : std::next(it);
   }
 }
--- a/src/decision/update_channel.h
+++ b/src/decision/update_channel.h
@@ -1,4 +1,4 @@
-// In-flight accounting of the update channel: how many routes wait in it, by what proxies acknowledge.
+// In-flight accounting of the update channel, based on the acknowledgements of the proxies.
 #pragma once
 
 #include <cstddef>
@@ -11,73 +11,99 @@
 
 namespace peargrade::decision {
 
-/// Counts the routes that were sent and may still wait in the channel. The count must never be below the
-/// truth. Updates leave the channel one after the other, and each proxy applies its own in order. When
-/// proxies disconnect, their copies still take their turn, but updates sent later move forward by as much:
-/// they may overtake what was sent before to others. Sizes are in routes, message overhead included. Not
-/// thread-safe.
+/// Counts the routes that were sent and may still be queued in the channel. The count must never be too low,
+/// because the pending limit relies on it.
+///
+/// The channel is a queue with one copy of each update for each proxy. Updates are transmitted in order, and
+/// each proxy applies its own copies in order. When a proxy disconnects, its queued copies still use up
+/// transmission time, but updates sent later move forward in the queue by the size of these copies. They may
+/// then be transmitted before copies that were sent earlier to other proxies. An acknowledgement therefore
+/// shows only that the updates which it cannot have overtaken were transmitted.
+///
+/// All sizes are in routes, message overhead included. Two kinds of positions are used: positions in the
+/// stream of routes sent to one proxy (equal for all proxies, since each is sent every update), and positions
+/// in the queue, which holds the copies for all proxies. Not thread-safe.
 class UpdateChannel {
  public:
   /// Number of connected proxies.
-  [[nodiscard]] double proxyCount() const { return static_cast<double>(acknowledgedBy_.size()); }
+  [[nodiscard]] double proxyCount() const { return static_cast<double>(acknowledgedByProxy_.size()); }
   [[nodiscard]] std::set<ProxyId> proxies() const;
-  /// The event may be read after updates went to the proxy: those sent at `since` or later count as in flight
-  /// to it. A proxy that is announced again keeps what is in flight to it.
+  /// Adds a proxy. It may have connected before the event was read, so updates sent at `since` or later count
+  /// as in flight to it. If the proxy is connected already, nothing changes.
   void connect(ProxyId proxy, Micros since);
-  /// What is in flight to the proxy stays so until it has left the channel. The event may be read after later
-  /// updates moved forward: those sent at `since` or later count as moved.
+  /// Removes a proxy. Its routes in flight count until they are transmitted. It may have disconnected before
+  /// the event was read, so updates sent at `since` or later may already have moved forward in the queue.
   void disconnect(ProxyId proxy, Micros since);
-  /// False: the proxy or the update is not known, or every proxy acknowledged the update long ago.
+  /// Records that a proxy has applied an update and all before it. Returns false if the proxy is not
+  /// connected or there is no record of the update: its id is unknown, or every proxy has acknowledged it.
   bool acknowledge(ProxyId proxy, int updateId);
-  /// Updates whose acknowledgement would still change the account.
+  /// Number of updates whose record is kept, because an acknowledgement of them may lower the count.
   [[nodiscard]] std::size_t trackedUpdates() const { return updates_.size(); }
   [[nodiscard]] int lastUpdateId() const { return lastUpdateId_; }
   [[nodiscard]] int nextUpdateId() const { return (lastUpdateId_ + 1) % kUpdateIds; }
-  /// Records one message of `routes` to each of `receivers` proxies. `slowestRate`: routes a second that
-  /// certainly leave the channel. Returns the update's id.
+  /// Records an update: one message of `routes` routes to each of `receivers` proxies. `slowestRate`: routes
+  /// per second that the channel transmits at least. Returns the update's id.
   int send(Micros now, double routes, double receivers, double slowestRate);
-  /// The last update leaves only when recordDelivery is called; until then nothing of it has left.
+  /// Declares that recordDelivery will be called for the last update. Until then proxies that connect may
+  /// still receive it.
   void awaitDelivery() { isDeliveryPending_ = true; }
-  /// The last update went out in `messages` messages, each with `overhead` routes on top, or not at all (0).
+  /// Records that the last update entered the channel in `messages` messages to each proxy; 0: it did not
+  /// enter the channel. Each message after the first adds `overhead` routes.
   void recordDelivery(Micros now, int messages, double overhead, double receivers);
-  /// Routes in flight: those not acknowledged, but no more than the slowest rate leaves.
+  /// Upper bound of the routes in flight, summed over the proxies: the routes that are not acknowledged, or
+  /// if that is less, the routes that a channel with the slowest rate has not transmitted yet.
   [[nodiscard]] double routesInFlight(Micros now, double slowestRate) const;
-  /// Messages to each proxy within the window up to now.
+  /// Messages sent to each proxy within the last `window` microseconds.
   double messagesWithin(Micros now, Micros window);
 
  private:
   struct Update {
     Micros sentAt;
-    // Of the routes sent to one proxy.
+    // Range of positions in the stream.
     double firstRoute;
     double endRoute;
-    // Of the queue of all proxies' routes, as far as the update can have moved forward.
+    // Range of positions in the queue. The start is lowered as far as the update may have moved forward.
     double queueStart;
     double queueEnd;
   };
-  /// Routes sent to one proxy that wait for disconnected ones: the end and the begin of their range.
+  /// Range of positions in the stream: its end, then its start, so that ranges sort by their end.
   using RouteRange = std::pair<double, double>;
 
-  void raise(double& acknowledged, double to);
-  void markLeft(const Update& acknowledged);
-  void extendDeparted(double firstRoute, double extra);
-  double routesForDeparted() const;
-  void forgetAcknowledged();
+  /// Raises the position up to which one proxy acknowledged the stream, and the sum over the proxies.
+  void raiseAcknowledged(double& acknowledged, double position);
+  /// Marks the updates as transmitted that must have been transmitted before `acknowledged`.
+  void markTransmitted(const Update& acknowledged);
+  /// Adapts the ranges in flight to disconnected proxies to a change of the last update's size by `extra`.
+  void resizeDisconnectedRanges(double firstRoute, double extra);
+  /// Upper bound of the routes in flight to disconnected proxies.
+  double routesToDisconnected() const;
+  void eraseAcknowledgedUpdates();
 
-  /// The range of an update id.
+  /// Number of update ids: they wrap around at this value.
   static constexpr int kUpdateIds = 65536;
-  std::map<ProxyId, double> acknowledgedBy_;  // of the routes sent to one proxy
-  std::map<ProxyId, double> connectedAt_;     // of the same, where the proxy began
-  std::map<int, Update> updates_;             // by update id
-  double sent_ = 0;                           // routes sent to one proxy
-  double acknowledged_ = 0;                   // sum of acknowledgedBy_
-  double queued_ = 0;                         // upper bound of the routes in the channel at queuedAt_
-  double left_ = 0;                           // of the routes sent to one proxy: these left for all proxies
-  double nextInQueue_ = 0;                    // place in the queue of what is sent next
-  std::map<RouteRange, double> departed_;     // number of disconnected proxies by the range in flight to them
-  mutable double departedRoutes_ = 0;
-  mutable bool departedRoutesCurrent_ = true;
+  /// By connected proxy: the position in the stream up to which nothing is in flight to it.
+  std::map<ProxyId, double> acknowledgedByProxy_;
+  /// By connected proxy: the position in the stream of the first route that may have been sent to it.
+  std::map<ProxyId, double> firstRouteByProxy_;
+  /// By update id.
+  std::map<int, Update> updates_;
+  /// Position in the stream of the next route to be sent.
+  double sentRoutes_ = 0;
+  /// Sum of acknowledgedByProxy_.
+  double acknowledgedRoutes_ = 0;
+  /// Upper bound of the routes in the channel at queuedAt_, if it has the slowest rate.
+  double queuedRoutes_ = 0;
+  /// Position in the stream up to which the routes were transmitted to all proxies.
+  double transmittedRoutes_ = 0;
+  /// Position in the queue of the next update.
+  double queueTail_ = 0;
+  /// Number of disconnected proxies by the range of the stream that is in flight to them.
+  std::map<RouteRange, double> disconnectedRanges_;
+  /// Cached result of routesToDisconnected, and whether it is valid.
+  mutable double disconnectedRoutes_ = 0;
+  mutable bool areDisconnectedRoutesCurrent_ = true;
   Micros queuedAt_ = 0;
+  /// Times of the messages sent to each proxy, ascending.
   std::deque<Micros> messageTimes_;
   int lastUpdateId_ = 0;
   bool isDeliveryPending_ = false;
--- a/src/decision/update_scheduler.cpp
+++ b/src/decision/update_scheduler.cpp
@@ -10,10 +10,11 @@
 namespace peargrade::decision {
 namespace {
 
-/// How long before its event is read a proxy may have connected or disconnected.
+/// Longest assumed time between the connection or disconnection of a proxy and the handling of its event.
 constexpr Micros kConnectionEventLag = 1 * kSecond;
-/// Share of an update that ratios of slices may take: they change all the time.
-constexpr double kRatioShareOfUpdate = 0.5;
+/// Largest share of an update that admission ratios may use. They change often under overload, and would
+/// otherwise leave no capacity for migrations.
+constexpr double kMaxRatioShare = 0.5;
 
 }  // namespace
 
@@ -27,12 +28,12 @@
       actions_(actions),
       routes_(sources.ejections),
       handover_(settings, clock) {
-  published_.ratios.assign(settings.classes.size(), 1);
+  publishedAdmission_.ratios.assign(settings.classes.size(), 1);
 }
 
 void UpdateScheduler::connectProxy(ProxyId proxy, SliceMap& slices) {
   channel_.connect(proxy, clock_.now() - kConnectionEventLag);
-  published_.isCurrent = false;
+  publishedAdmission_.isCurrent = false;
   hasNewProxies_ = true;
   handover_.recordConnectionChange(slices, proxy);
 }
@@ -53,23 +54,26 @@
   budget_.recordDelivery(event.messages);
   if (!delivery_.needsRetry()) return;
   for (const Action& action : update) markUncertain(action, servers, slices);
-  const bool onlyAsked = update.size() == 1;
-  if (onlyAsked) budget_.recordMissedAcknowledgements();
+  const bool wasAcknowledgementRequestOnly = update.size() == 1;
+  if (wasAcknowledgementRequestOnly) budget_.recordMissedAcknowledgements();
 }
 
-// A slice that was assigned since the update was sent has the table that the store holds.
+// The state of a slice that was assigned after the update was sent comes from the store, so the update does
+// not make it uncertain.
 void UpdateScheduler::markUncertain(const Action& action, ServerMap& servers, SliceMap& slices) {
   if (const auto* ejection = std::get_if<SetEjection>(&action))
     servers[ejection->server].ejection.markUnconfirmed();
   const TableId table = tableOf(action);
-  if (std::holds_alternative<SetAdmission>(action) && table == kAllTables) published_.isCurrent = false;
+  if (std::holds_alternative<SetAdmission>(action) && table == kAllTables)
+    publishedAdmission_.isCurrent = false;
   const auto it = slices.find(table);
   if (it == slices.end() || it->second.assignedAt > budget_.lastSentAt()) return;
   it->second.markUncertain(action);
 }
 
-void UpdateScheduler::changeSettings(const Settings& before, const Settings& after) {
-  published_.isCurrent = published_.isCurrent && haveSameRetryPolicies(before, after);
+void UpdateScheduler::changeSettings(const Settings& oldSettings, const Settings& newSettings) {
+  publishedAdmission_.isCurrent =
+      publishedAdmission_.isCurrent && haveSameRetryPolicies(oldSettings, newSettings);
 }
 
 void UpdateScheduler::beginDecision(ServerMap& servers) {
@@ -89,13 +93,14 @@
   const std::size_t ejections = sources_.ejections.plan(servers, slices).size();
   std::sort(pending.begin(), pending.end());
   std::vector<Action> update;
-  if (maySend(pending, ejections)) update = fillUpdate(pending, servers, slices);
-  const bool onlyAsks = update.empty();
-  if (onlyAsks && !mayAskForAcknowledgements()) return;
+  if (canSend(pending, ejections)) update = fillUpdate(pending, servers, slices);
+  const bool isAcknowledgementRequestOnly = update.empty();
+  if (isAcknowledgementRequestOnly && !canRequestAcknowledgements()) return;
   dropSuperseded(update);
   const double routes = budget_.messageOverhead() + static_cast<double>(update.size());
   const int updateId = budget_.send(routes);
-  update.emplace_back(AcknowledgementRequest{updateId, onlyAsks || settings_.hasSingleOwnerSlices()});
+  update.emplace_back(
+      AcknowledgementRequest{updateId, isAcknowledgementRequestOnly || settings_.hasSingleOwnerSlices()});
   for (const Action& action : update) actions_.add(action);
   if (!settings_.deliveryReported) {
     delivery_.sendUntracked();
@@ -127,7 +132,7 @@
   for (std::size_t k = 0; k < slice.ratios.size(); ++k) {
     if (slice.isRatioPublished(k)) continue;
     ratios.emplace_back(SetAdmission{table, 1u << k, slice.ratios[k], retryPolicy(k)});
-    // An equal ratio is one whose delivery is unknown.
+    // A ratio equal to the published one is only sent again if its delivery is unknown: it may be a decrease.
     isDecrease = isDecrease || (slice.ratios[k] < 1 && slice.ratios[k] <= slice.publishedRatios[k]);
   }
   if (ratios.empty()) return;
@@ -138,9 +143,9 @@
 
 void UpdateScheduler::planFleetAdmission(std::vector<PendingUpdate>& updates) const {
   const std::vector<double>& ratios = sources_.ratios.fleetRatios();
-  const bool isSame =
-      published_.isOverloaded == sources_.admission.isOverloaded() && published_.ratios == ratios;
-  if (published_.isCurrent && isSame) return;
+  const bool isUnchanged = publishedAdmission_.isOverloaded == sources_.admission.isOverloaded() &&
+                           publishedAdmission_.ratios == ratios;
+  if (publishedAdmission_.isCurrent && isUnchanged) return;
   const UpdatePriority priority =
       delivery_.needsRetry() ? UpdatePriority::Evacuation : UpdatePriority::Admission;
   PendingUpdate update{priority, -sources_.load.fleetHeat(), kAllTables, {}};
@@ -153,46 +158,48 @@
   return retryPolicyOf(settings_.classes[requestClass], settings_, sources_.admission.isOverloaded());
 }
 
-bool UpdateScheduler::maySend(const std::vector<PendingUpdate>& updates, std::size_t ejections) const {
+bool UpdateScheduler::canSend(const std::vector<PendingUpdate>& updates, std::size_t ejections) const {
   if (updates.empty() && ejections == 0) return false;
-  const UpdatePriority first = ejections > 0 ? UpdatePriority::Critical : updates.front().priority;
+  const UpdatePriority highestPriority = ejections > 0 ? UpdatePriority::Critical : updates.front().priority;
   auto routes = static_cast<double>(ejections);
   for (const PendingUpdate& pending : updates)
-    routes += pending.priority == first ? static_cast<double>(pending.actions.size()) : 0;
-  return budget_.maySend(first, routes, delivery_.needsRetry());
+    routes += pending.priority == highestPriority ? static_cast<double>(pending.actions.size()) : 0;
+  return budget_.canSend(highestPriority, routes, delivery_.needsRetry());
 }
 
-bool UpdateScheduler::mayAskForAcknowledgements() const {
-  const bool isAwaited = budget_.routesInFlight() > 0 || settings_.hasSingleOwnerSlices();
-  return isAwaited && budget_.mayAskForAcknowledgements();
+bool UpdateScheduler::canRequestAcknowledgements() const {
+  const bool areAcknowledgementsAwaited = budget_.routesInFlight() > 0 || settings_.hasSingleOwnerSlices();
+  return areAcknowledgementsAwaited && budget_.canRequestAcknowledgements();
 }
 
 std::vector<Action> UpdateScheduler::fillUpdate(const std::vector<PendingUpdate>& updates, ServerMap& servers,
                                                 SliceMap& slices) {
   std::vector<Action> update;
-  const double mostRatios = std::max(kRatioShareOfUpdate * budget_.capacityLeft(UpdatePriority::Admission),
-                                     static_cast<double>(settings_.classes.size()));
+  const double maxRatios = std::max(kMaxRatioShare * budget_.capacityLeft(UpdatePriority::Admission),
+                                    static_cast<double>(settings_.classes.size()));
   double ratios = 0;
   for (const PendingUpdate& pending : updates) {
     const bool isRatio = pending.priority == UpdatePriority::Admission;
     ratios += isRatio ? static_cast<double>(pending.actions.size()) : 0;
-    if (isRatio && ratios > mostRatios) continue;
+    if (isRatio && ratios > maxRatios) continue;
     if (!append(pending.priority, pending.actions, update, servers, slices)) break;
   }
-  // Planned again: a table may have a routable server only by what was just added.
+  // Plan the ejections again: the routes just added may give a table a routable server, so that its former
+  // server can be ejected.
   for (const SetEjection& ejection : sources_.ejections.plan(servers, slices))
     append(UpdatePriority::Critical, {ejection}, update, servers, slices);
   return update;
 }
 
-bool UpdateScheduler::append(UpdatePriority priority, const std::vector<Action>& more,
+bool UpdateScheduler::append(UpdatePriority priority, const std::vector<Action>& newActions,
                              std::vector<Action>& update, ServerMap& servers, SliceMap& slices) {
-  const auto routes = static_cast<double>(update.size() + more.size());
-  // The first part goes into an empty channel whatever its size.
+  const auto routes = static_cast<double>(update.size() + newActions.size());
+  // The first part of an update is sent whatever its size if the channel is empty. Otherwise a part that is
+  // larger than the channel would never be sent.
   const bool isLimited = !update.empty() || budget_.routesInFlight() > 0;
   if (isLimited && routes > budget_.capacityLeft(priority)) return false;
-  for (const Action& action : more) publish(action, servers, slices);
-  update.insert(update.end(), more.begin(), more.end());
+  for (const Action& action : newActions) publish(action, servers, slices);
+  update.insert(update.end(), newActions.begin(), newActions.end());
   return true;
 }
 
@@ -205,8 +212,8 @@
 
 void UpdateScheduler::publish(const SetRoute& route, SliceState& slice) {
   slice.publish(route);
-  const bool beginsHandover = settings_.hasSingleOwnerSlices() && route.weight <= 0;
-  if (beginsHandover) SliceHandover::beginHandover(slice, channel_.proxies(), channel_.nextUpdateId());
+  const bool isOwnerRemoval = settings_.hasSingleOwnerSlices() && route.weight <= 0;
+  if (isOwnerRemoval) SliceHandover::beginHandover(slice, channel_.proxies(), channel_.nextUpdateId());
 }
 
 void UpdateScheduler::publish(const SetAdmission& admission, SliceMap& slices) {
@@ -214,9 +221,9 @@
     slices.at(admission.table).publish(admission);
     return;
   }
-  published_.isCurrent = true;
-  published_.isOverloaded = sources_.admission.isOverloaded();
-  published_.ratios = sources_.ratios.fleetRatios();
+  publishedAdmission_.isCurrent = true;
+  publishedAdmission_.isOverloaded = sources_.admission.isOverloaded();
+  publishedAdmission_.ratios = sources_.ratios.fleetRatios();
 }
 
 }  // namespace peargrade::decision
--- a/src/decision/update_scheduler.h
+++ b/src/decision/update_scheduler.h
@@ -1,4 +1,4 @@
-// Updates of the proxies: what is sent now, in which order, and what became of it.
+// Schedules the updates of the proxies: chooses what is sent now and in which order, and tracks its delivery.
 #pragma once
 
 #include <vector>
@@ -21,12 +21,14 @@
 
 namespace peargrade::decision {
 
-/// Sends what is desired and not published. Each update is filled by priority, the hottest slices first, as
-/// far as there is capacity; what is left waits, and a later decision replaces it. An update whose delivery
-/// is unknown is not repeated as a whole: its actions are decided again with all else.
+/// Sends the differences between the desired and the published state. Each update is filled by priority, the
+/// hottest slices first, until the channel has no more capacity. The rest is not queued: the next decision
+/// compares desired and published state again. An update whose delivery is unknown is not sent again as it
+/// was: its actions are marked as uncertain, and later decisions publish the then desired state in their
+/// place.
 class UpdateScheduler {
  public:
-  /// What else the scheduler reads.
+  /// Components that the scheduler reads.
   struct Sources {
     const SlowStart& slowStart;
     const LoadEstimator& load;
@@ -43,22 +45,23 @@
   void disconnectProxy(ProxyId proxy, SliceMap& slices);
   void recordAcknowledgement(const UpdateAcknowledged& event, SliceMap& slices);
   void recordDelivery(const UpdateDelivery& event, ServerMap& servers, SliceMap& slices);
-  /// The settings change from `before` to `after`.
-  void changeSettings(const Settings& before, const Settings& after);
+  void changeSettings(const Settings& oldSettings, const Settings& newSettings);
 
-  // ---- A decision ----
+  // ---- Steps of a decision ----
+  /// Whether the outcome of an update requires a decision before the next timer.
   [[nodiscard]] bool isDecisionDue() const { return delivery_.isDecisionDue(); }
+  /// First step of a decision, before ejections are planned.
   void beginDecision(ServerMap& servers);
   /// Last step of a decision.
   void sendUpdate(ServerMap& servers, SliceMap& slices);
-  /// Admission ratios of all slices as published, by class.
-  [[nodiscard]] const std::vector<double>& publishedFleetRatios() const { return published_.ratios; }
+  /// Published admission ratios that apply to all slices, by class.
+  [[nodiscard]] const std::vector<double>& publishedFleetRatios() const { return publishedAdmission_.ratios; }
 
  private:
-  /// The fleet's admission as published.
+  /// The admission ratios and retry policies last published for all tables.
   struct PublishedAdmission {
-    bool isCurrent = false;  // every connected proxy was sent it
-    bool isOverloaded = false;
+    bool isCurrent = false;     // they were delivered to every connected proxy
+    bool isOverloaded = false;  // the fleet's state from which the retry policies were chosen
     std::vector<double> ratios;
   };
 
@@ -67,17 +70,22 @@
   void planRatios(TableId table, const SliceState& slice, const ServerMap& servers,
                   std::vector<PendingUpdate>& updates) const;
   void planFleetAdmission(std::vector<PendingUpdate>& updates) const;
-  [[nodiscard]] bool maySend(const std::vector<PendingUpdate>& updates, std::size_t ejections) const;
-  /// Whether an update may go that only asks for acknowledgements, to make up for missed ones.
-  [[nodiscard]] bool mayAskForAcknowledgements() const;
+  /// `updates`: sorted. `ejections`: number of ejections and readmissions to publish.
+  [[nodiscard]] bool canSend(const std::vector<PendingUpdate>& updates, std::size_t ejections) const;
+  /// Whether an update that consists only of an acknowledgement request should be sent, because
+  /// acknowledgements were missed.
+  [[nodiscard]] bool canRequestAcknowledgements() const;
   [[nodiscard]] std::vector<Action> fillUpdate(const std::vector<PendingUpdate>& updates, ServerMap& servers,
                                                SliceMap& slices);
-  /// Adds actions as far as there is capacity, and records them as published. Returns whether there was.
-  bool append(UpdatePriority priority, const std::vector<Action>& more, std::vector<Action>& update,
+  /// Appends all of `newActions` to `update` and records them as published. If there is no capacity for them,
+  /// does nothing and returns false.
+  bool append(UpdatePriority priority, const std::vector<Action>& newActions, std::vector<Action>& update,
               ServerMap& servers, SliceMap& slices);
+  /// Records an action as published.
   void publish(const Action& action, ServerMap& servers, SliceMap& slices);
   void publish(const SetRoute& route, SliceState& slice);
   void publish(const SetAdmission& admission, SliceMap& slices);
+  /// Records that the delivery of a published action is unknown.
   void markUncertain(const Action& action, ServerMap& servers, SliceMap& slices);
   [[nodiscard]] RetryPolicy retryPolicy(std::size_t requestClass) const;
 
@@ -90,8 +98,8 @@
   RoutePlanner routes_;
   SliceHandover handover_;
   DeliveryTracker delivery_;
-  PublishedAdmission published_;
-  bool hasNewProxies_ = false;  // since the last decision
+  PublishedAdmission publishedAdmission_;
+  bool hasNewProxies_ = false;  // a proxy connected since the last decision
 };
 
 }  // namespace peargrade::decision
--- a/tests/decision/update_budget_test.cpp
+++ b/tests/decision/update_budget_test.cpp
@@ -42,26 +42,26 @@
 
 TEST_F(UpdateBudgetTest, UpdatesWithoutEvacuationsGoEveryHalfSecond) {
   budget_.send(1);
-  EXPECT_FALSE(budget_.maySend(UpdatePriority::Migration, 1, false));
-  EXPECT_TRUE(budget_.maySend(UpdatePriority::Evacuation, 1, false));
+  EXPECT_FALSE(budget_.canSend(UpdatePriority::Migration, 1, false));
+  EXPECT_TRUE(budget_.canSend(UpdatePriority::Evacuation, 1, false));
   clock_.advanceTo(clock_.now() + 500 * kMillisecond);
-  EXPECT_TRUE(budget_.maySend(UpdatePriority::Migration, 1, false));
+  EXPECT_TRUE(budget_.canSend(UpdatePriority::Migration, 1, false));
 }
 
 TEST_F(UpdateBudgetTest, MessageLimitStopsLessUrgentUpdatesFirst) {
   for (int message = 0; message < 7; ++message) budget_.send(1);
-  EXPECT_FALSE(budget_.maySend(UpdatePriority::Evacuation, 1, false));
-  EXPECT_TRUE(budget_.maySend(UpdatePriority::Critical, 1, false));
+  EXPECT_FALSE(budget_.canSend(UpdatePriority::Evacuation, 1, false));
+  EXPECT_TRUE(budget_.canSend(UpdatePriority::Critical, 1, false));
   clock_.advanceTo(clock_.now() + 10 * kSecond);
-  EXPECT_TRUE(budget_.maySend(UpdatePriority::Evacuation, 1, false));
+  EXPECT_TRUE(budget_.canSend(UpdatePriority::Evacuation, 1, false));
 }
 
 TEST_F(UpdateBudgetTest, UpdateWaitsForAQuarterOfAMessageUnlessItIsARetry) {
   budget_.send(60);
   EXPECT_LT(budget_.capacityLeft(UpdatePriority::Critical), 0.25 * 90);
-  EXPECT_FALSE(budget_.maySend(UpdatePriority::Critical, 50, false));
-  EXPECT_TRUE(budget_.maySend(UpdatePriority::Critical, 10, false)) << "all of it has capacity";
-  EXPECT_TRUE(budget_.maySend(UpdatePriority::Critical, 50, true));
+  EXPECT_FALSE(budget_.canSend(UpdatePriority::Critical, 50, false));
+  EXPECT_TRUE(budget_.canSend(UpdatePriority::Critical, 10, false)) << "all of it has capacity";
+  EXPECT_TRUE(budget_.canSend(UpdatePriority::Critical, 50, true));
 }
 
 TEST_F(UpdateBudgetTest, WithSlicesTheWholeFleetReceivesUpdates) {
