--- a/src/decision/update_channel.h
+++ b/src/decision/update_channel.h
@@ -75,7 +75,7 @@
   void markTransmitted(const Update& acknowledged);
   /// Adapts the ranges in flight to disconnected proxies to a change of the last update's size by `extra`.
   void resizeDisconnectedRanges(double firstRoute, double extra);
-  /// Upper bound of the routes in flight to disconnected proxies.
+  /// Routes in flight to disconnected proxies, derived from the acknowledgements of the connected ones.
   double routesToDisconnected() const;
   void eraseAcknowledgedUpdates();
 
--- a/tests/decision/admission_control_test.cpp
+++ b/tests/decision/admission_control_test.cpp
@@ -1,5 +1,5 @@
-// Admission control: how much load proxies admit when servers miss their latency objective or are still
-// warming up.
+// Admission control of a simulated supervisor: admission ratios while servers miss their latency objective or
+// are warming up.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace peargrade {
 namespace {
 
-TEST(AdmissionControl, OverloadShedsTheClassOfLeastPriorityPerWorkFirst) {
+TEST(AdmissionControl, OverloadFirstShedsTheClassWithTheLowestPriorityWeightPerCost) {
   SimulatedSupervisor supervisor;
   for (TableId slice = 0; slice < 12; ++slice) supervisor.requestRates[{slice, 1}] = 10;
   supervisor.startAndRun(12, 6 * kSecond);
@@ -22,11 +22,12 @@
   }
 }
 
-// Steps of a tenth would be too slow for a server that is sent twice what it can answer.
-TEST(AdmissionControl, ServerOverItsLatencyObjectiveIsSentLessThanItAnswers) {
+// Guards against a limit that falls only by its normal step of 10 %: a server that receives twice the load
+// that it can answer would stay overloaded for too long.
+TEST(AdmissionControl, ServerOverItsLatencyObjectiveReceivesLessThanItAnswers) {
   SimulatedSupervisor supervisor(testSettings(), 8);
   supervisor.startAndRun(24, 8 * kSecond);
-  supervisor.reportsLoad = false;  // until its former load has decayed
+  supervisor.reportsLoad = false;  // until the estimate of the former load has decayed
   supervisor.run(6 * kSecond);
   supervisor.reportsLoad = true;
   supervisor.latencies["s_a"] = 2000 * kMillisecond;
@@ -53,8 +54,8 @@
 
 // ---- Warming servers ----
 
-// The only server left is warming up: it gets all slices, but not all of their load.
-TEST(AdmissionControl, WarmingServerIsSentNoMoreThanItsCapacity) {
+// The only remaining server is warming up: it receives all slices, but only a part of their requests.
+TEST(AdmissionControl, WarmingServerReceivesNoMoreThanItsCapacity) {
   SimulatedSupervisor supervisor(testSettings(), 3);
   supervisor.startAndRun(12, 8 * kSecond);
   supervisor.updateEndpoint("s_b", EndpointState::Ready, supervisor.now - 100 * kMillisecond);
@@ -66,7 +67,7 @@
     EXPECT_LT(supervisor.admissionRatio(slice, 0), 0.5) << "slice " << slice;
 }
 
-TEST(AdmissionControl, WarmingServerAdmitsNoLargerShareThanTheOthersUnderOverload) {
+TEST(AdmissionControl, WarmingServerAdmitsNoLargerShareThanWarmServersUnderOverload) {
   Settings settings = testSettings();
   settings.healthChecksAllowed = true;
   SimulatedSupervisor supervisor(settings, 4);
@@ -87,7 +88,8 @@
   }
 }
 
-// The last warm servers leave and s_e, just warm, was never loaded: it is no measure of what s_b can take.
+// All loaded warm servers are removed. The only warm server left, s_e, has carried little load, so its heat
+// does not show how much heat the warming server s_b can sustain.
 TEST(AdmissionControl, HeatLimitOfWarmingServersDoesNotJumpUnderOverload) {
   SimulatedSupervisor supervisor(testSettings(), 4);
   supervisor.startUnderOverload(16, 15 * kSecond);
--- a/tests/decision/admission_controller_test.cpp
+++ b/tests/decision/admission_controller_test.cpp
@@ -1,4 +1,4 @@
-// Admission control: heat limits and admitted shares, step by step.
+// AdmissionController and AdmissionRatios: heat limits, admitted shares and ratios after single steps.
 #include "decision/admission_controller.h"
 
 #include "component_fixture.h"
@@ -8,7 +8,7 @@
 namespace peargrade::decision {
 namespace {
 
-/// Warm servers with equal heat; "cold" warms up. Each step is later than the settling time.
+/// Four warm servers with equal heat. By default each step is longer than the settling time.
 class AdmissionControllerTest : public ComponentFixture {
  protected:
   AdmissionControllerTest() {
@@ -31,10 +31,10 @@
     admission_.adjust(servers_, load_, slowStart_);
   }
 
-  double heat_ = 0;  // of each warm server
+  double heat_ = 0;  // heat of each server
 };
 
-TEST_F(AdmissionControllerTest, OverloadedServerIsLimitedATenthBelowWhatItReceives) {
+TEST_F(AdmissionControllerTest, OverloadedServerIsLimitedToATenthBelowTheHeatItReceives) {
   set("a", 0.54);
   adjust();
   EXPECT_EQ(admission().heatLimit, 0);
@@ -42,22 +42,23 @@
   adjust();
   EXPECT_DOUBLE_EQ(admission().heatLimit, 0.9 * heat_);
   EXPECT_DOUBLE_EQ(admission().saturationHeat, heat_);
-  EXPECT_LT(admission().admittedShare, 0.9) << "a passing cut beyond the limit";
-  EXPECT_FALSE(admission_.isOverloaded()) << "one of four servers";
+  EXPECT_LT(admission().admittedShare, 0.9) << "reduced below the limit to drain the queue";
+  EXPECT_FALSE(admission_.isOverloaded()) << "only one of four servers is limited";
 }
 
-TEST_F(AdmissionControllerTest, LimitFallsToFourFifthsOfSaturationAndFurtherOnlyLater) {
+TEST_F(AdmissionControllerTest, LimitFallsBelowFourFifthsOfSaturationOnlyAfterALongerWait) {
   set("a", 0.56);
   adjust();
   adjust();
   EXPECT_DOUBLE_EQ(admission().heatLimit, 0.9 * 0.9 * heat_);
   adjust(2 * kSecond);
-  EXPECT_DOUBLE_EQ(admission().heatLimit, 0.9 * 0.9 * heat_) << "0.729 is below the bound";
+  EXPECT_DOUBLE_EQ(admission().heatLimit, 0.9 * 0.9 * heat_)
+      << "a third decrease, to 0.729, needs a longer wait";
   adjust(3 * kSecond);
   EXPECT_LT(admission().heatLimit, 0.74 * heat_);
 }
 
-TEST_F(AdmissionControllerTest, LeastShareOfSaturationIsFourFifths) {
+TEST_F(AdmissionControllerTest, LimitDecreasesWithoutAWaitOnlyDownToFourFifthsOfSaturation) {
   for (const double share : {0.89, 0.888}) {
     admission() = {};
     admission().heatLimit = share * heat_;
@@ -70,7 +71,7 @@
   }
 }
 
-TEST_F(AdmissionControllerTest, ServerOverItsObjectiveIsSaturatedByWhatItAnswers) {
+TEST_F(AdmissionControllerTest, SaturationOfAServerOverItsObjectiveIsTheHeatItAnswers) {
   set("a", 1.005, 0.3);
   adjust();
   EXPECT_DOUBLE_EQ(admission().saturationHeat, 0.7 * heat_);
@@ -81,7 +82,7 @@
   admission() = {};
   set("a", 1.005, 0.7);
   adjust();
-  EXPECT_DOUBLE_EQ(admission().saturationHeat, 0.4 * heat_) << "no less than that is answered";
+  EXPECT_DOUBLE_EQ(admission().saturationHeat, 0.4 * heat_) << "lower bound of the answered share";
 }
 
 TEST_F(AdmissionControllerTest, RejectionsLimitAServerThatIsNotRelaxed) {
@@ -97,7 +98,7 @@
   EXPECT_EQ(admission().heatLimit, 0);
 }
 
-TEST_F(AdmissionControllerTest, RelaxedServersLimitRisesInGrowingStepsUntilItLimitsNothing) {
+TEST_F(AdmissionControllerTest, LimitOfARelaxedServerRisesInGrowingStepsUntilItIsRemoved) {
   admission().heatLimit = 0.5 * heat_;
   admission().saturationHeat = heat_;
   set("a", 0.29);
@@ -109,14 +110,14 @@
   EXPECT_EQ(admission().heatLimit, 0);
 }
 
-TEST_F(AdmissionControllerTest, ServerAdmitsATenthAtLeast) {
+TEST_F(AdmissionControllerTest, ServerAdmitsAtLeastATenthOfItsHeat) {
   admission().heatLimit = 0.01 * heat_;
   admission().limitChangedAt = clock_.now() + kSecond;
   adjust(0);
   EXPECT_DOUBLE_EQ(admission().admittedShare, 0.1);
 }
 
-TEST_F(AdmissionControllerTest, SustainedHeatRisesATenthASecondInOverload) {
+TEST_F(AdmissionControllerTest, SustainedHeatRisesByAtMostATenthPerSecondInOverload) {
   for (const ServerId id : {"a", "b", "c", "d"}) set(id, 0.56);
   adjust();
   EXPECT_TRUE(admission_.isOverloaded());
@@ -131,7 +132,7 @@
   EXPECT_DOUBLE_EQ(admission_.sustainedHeatPerWeight(), 1.05 * sustained);
 }
 
-TEST_F(AdmissionControllerTest, WarmingServerAdmitsNoMoreThanWarmOnesInOverload) {
+TEST_F(AdmissionControllerTest, WarmingServerAdmitsNoLargerShareThanWarmServersInOverload) {
   servers_["cold"] = usableServer();
   servers_["cold"].endpoint.startedAt = clock_.now();
   for (const ServerId id : {"a", "b", "c", "d"}) set(id, 0.56);
@@ -141,7 +142,7 @@
   EXPECT_DOUBLE_EQ(servers_["cold"].admission.admittedShare, admission_.admittedShare());
 }
 
-/// Ratios of a slice where the fleet's ratio serves most slices.
+/// A channel too small to send a ratio for each slice: most slices use the fleet's ratio.
 class AdmissionRatiosTest : public AdmissionControllerTest {
  protected:
   AdmissionRatiosTest() {
@@ -160,15 +161,15 @@
   AdmissionRatios ratios_{settings_, costs_, slowStart_, load_, budget_};
 };
 
-TEST_F(AdmissionRatiosTest, FleetRatioIsTheMeanWhereAMessageCannotHoldOneForEachSlice) {
-  EXPECT_EQ(ratioOfSlice(0.5), 1) << "the fleet's ratio serves it";
+TEST_F(AdmissionRatiosTest, FleetRatioIsTheMeanIfAnUpdateCannotHoldARatioForEachSlice) {
+  EXPECT_EQ(ratioOfSlice(0.5), 1) << "the slice uses the fleet's ratio";
   EXPECT_DOUBLE_EQ(ratios_.fleetRatios()[0], 0.5);
 }
 
-TEST_F(AdmissionRatiosTest, SliceHasARatioOfItsOwnWhereItIsThreeTenthsLower) {
+TEST_F(AdmissionRatiosTest, SliceGetsItsOwnRatioIfItIsAtLeastThreeTenthsLower) {
   slices_.at(0).publishedRatios[0] = 0.6;
   for (auto& [id, server] : servers_) server.admission.admittedShare = 0.9;
-  EXPECT_DOUBLE_EQ(ratioOfSlice(0.35), 0.6) << "0.25 lower: not enough for a change";
+  EXPECT_DOUBLE_EQ(ratioOfSlice(0.35), 0.6) << "the change of 0.25 is too small to be published";
   EXPECT_DOUBLE_EQ(ratioOfSlice(0.25), 0.25);
   slices_.at(0).publishedRatios[0] = 0.601;
   EXPECT_DOUBLE_EQ(ratioOfSlice(0.3), 0.3);
@@ -176,7 +177,7 @@
   EXPECT_DOUBLE_EQ(ratioOfSlice(0.3), 0.599);
 }
 
-TEST_F(AdmissionRatiosTest, SlicesHaveTheirOwnRatiosWhereAMessageHoldsThem) {
+TEST_F(AdmissionRatiosTest, SlicesGetTheirOwnRatiosIfAnUpdateCanHoldThem) {
   settings_.pendingRoutesMax = 1e9;
   EXPECT_DOUBLE_EQ(ratioOfSlice(0.7), 0.7);
   EXPECT_EQ(ratios_.fleetRatios()[0], 1);
--- a/tests/decision/endpoint_list_test.cpp
+++ b/tests/decision/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list: subscription, backoff, and what updates say of the servers.
+// EndpointList: subscription, backoff, and application of updates to the server records.
 #include "decision/endpoint_list.h"
 
 #include "component_fixture.h"
@@ -26,20 +26,20 @@
   settings_.endpointsOnRequest = true;
   settings_.pollDeadline = 10 * kSecond;
   EXPECT_TRUE(subscribes());
-  EXPECT_FALSE(subscribes()) << "the subscription stands";
-  Micros longest = 500 * kMillisecond;
+  EXPECT_FALSE(subscribes()) << "the subscription is active";
+  Micros maxBackoff = 500 * kMillisecond;
   for (int failure = 0; failure < 6; ++failure) {
     endpoints_.apply({EndpointListKind::Failed, 0, {}}, servers_);
     const Micros failedAt = clock_.now();
-    clock_.advanceTo(failedAt + longest / 2 - 1);
+    clock_.advanceTo(failedAt + maxBackoff / 2 - 1);
     EXPECT_FALSE(subscribes()) << failure;
-    clock_.advanceTo(failedAt + longest);
+    clock_.advanceTo(failedAt + maxBackoff);
     EXPECT_TRUE(subscribes()) << failure;
-    longest = std::min(2 * longest, settings_.pollDeadline / 4);
+    maxBackoff = std::min(2 * maxBackoff, settings_.pollDeadline / 4);
   }
 }
 
-TEST_F(EndpointListTest, CachedListConfirmsItsServersAndIsNotCurrent) {
+TEST_F(EndpointListTest, CachedListConfirmsItsServersButIsNotCurrent) {
   endpoints_.apply(update(EndpointListKind::Cached), servers_);
   EXPECT_TRUE(servers_["a"].isConfirmed);
   EXPECT_FALSE(endpoints_.isCurrent());
@@ -58,13 +58,13 @@
   EXPECT_TRUE(endpoints_.isCurrent());
 }
 
-TEST_F(EndpointListTest, FullListUnlistsWhatItDoesNotName) {
+TEST_F(EndpointListTest, ServerMissingFromAFullListIsNotReady) {
   endpoints_.apply(update(EndpointListKind::Delta), servers_);
   endpoints_.apply({EndpointListKind::Full, 0, {}}, servers_);
   EXPECT_FALSE(servers_["a"].isReady());
 }
 
-TEST_F(EndpointListTest, LaterStartIsANewServer) {
+TEST_F(EndpointListTest, LaterStartTimeResetsTheServerRecord) {
   endpoints_.apply(update(EndpointListKind::Delta), servers_);
   servers_["a"].admission.heatLimit = 1;
   endpoints_.apply(update(EndpointListKind::Delta, EndpointState::Ready, 999 * kSecond), servers_);
--- a/tests/decision/endpoint_polling_test.cpp
+++ b/tests/decision/endpoint_polling_test.cpp
@@ -1,4 +1,4 @@
-// Requests for the endpoint list: its watch, and backoff when discovery fails.
+// Requests for the endpoint list by a simulated supervisor: watches, and backoff when discovery fails.
 #include <gtest/gtest.h>
 
 #include <map>
--- a/tests/decision/health_test.cpp
+++ b/tests/decision/health_test.cpp
@@ -1,4 +1,4 @@
-// Outlier detection, health checks and trials of unconfirmed servers.
+// OutlierDetector and TrialBudget: outliers, health checks, and trial slices on unconfirmed servers.
 #include <gtest/gtest.h>
 
 #include "component_settings.h"
@@ -14,12 +14,12 @@
     clock_.advanceTo(1000 * kSecond);
     servers_["a"] = usableServer();
   }
-  /// Evaluates the server "a" in a fleet where others make 100 attempts.
-  bool isOutlier(AttemptCounts own, double otherFailures = 0, double pressure = 0) {
+  /// Evaluates server "a" with the attempts `own`, in a fleet whose other servers have 100 attempts in total.
+  bool isOutlier(AttemptCounts own, double failuresOfOthers = 0, double pressure = 0) {
     servers_["a"] = usableServer();
     servers_["a"].reports.counts = own;
     servers_["a"].reports.pressure = pressure;
-    detector_.detect(servers_, {own.attempts + 100, own.failures + otherFailures});
+    detector_.detect(servers_, {own.attempts + 100, own.failures + failuresOfOthers});
     return servers_["a"].outlier.isOutlier();
   }
 
@@ -36,18 +36,18 @@
   EXPECT_FALSE(isOutlier({100, 39}));
 }
 
-TEST_F(OutlierDetectorTest, NoOutlierWhereOtherServersFailAThirdAsMuch) {
+TEST_F(OutlierDetectorTest, NoOutlierIfOtherServersFailMoreThanAThirdAsOften) {
   EXPECT_TRUE(isOutlier({100, 60}, 19));
   EXPECT_FALSE(isOutlier({100, 60}, 21));
 }
 
-TEST_F(OutlierDetectorTest, SlowServerThatStillAnswersIsOverloadedAndNoOutlier) {
+TEST_F(OutlierDetectorTest, SlowServerThatStillAnswersIsOverloadedRatherThanAnOutlier) {
   EXPECT_FALSE(isOutlier({1000, 799}, 0, 0.31));
-  EXPECT_TRUE(isOutlier({1000, 801}, 0, 0.31)) << "next to nothing is answered";
-  EXPECT_TRUE(isOutlier({1000, 799}, 0, 0.29)) << "quick errors";
+  EXPECT_TRUE(isOutlier({1000, 801}, 0, 0.31)) << "less than a fifth of the attempts succeed";
+  EXPECT_TRUE(isOutlier({1000, 799}, 0, 0.29)) << "fast errors are not caused by overload";
 }
 
-TEST_F(OutlierDetectorTest, OutlierIsReleasedAfterEightSecondsAndForgetsItsReports) {
+TEST_F(OutlierDetectorTest, OutlierIsReleasedAndItsReportsDiscardedAfterEightSeconds) {
   ASSERT_TRUE(isOutlier({100, 60}));
   servers_["a"].reports.byProxyZone[0] = {};
   clock_.advanceTo(1008 * kSecond - 1);
@@ -60,7 +60,7 @@
   EXPECT_EQ(servers_["a"].changedAt, 1008 * kSecond);
 }
 
-TEST_F(OutlierDetectorTest, RemovedServerThatStillAnswersIsPresumedAliveWhereRemovalIsAdvisory) {
+TEST_F(OutlierDetectorTest, RemovedServerThatStillAnswersIsPresumedAliveIfRemovalIsAdvisory) {
   settings_.removalIsAdvisory = true;
   isOutlier({1000, 799}, 90);
   EXPECT_TRUE(servers_["a"].isPresumedAlive);
@@ -71,7 +71,7 @@
   EXPECT_FALSE(servers_["a"].isPresumedAlive);
 }
 
-TEST_F(OutlierDetectorTest, HealthChecksOfAnUnconfirmedServerComeAtGrowingIntervals) {
+TEST_F(OutlierDetectorTest, HealthChecksOfAnUnconfirmedServerAreSentAtGrowingIntervals) {
   settings_.healthChecksAllowed = true;
   servers_["a"].isConfirmed = false;
   servers_["a"].firstSeenAt = 1000 * kSecond;
@@ -110,12 +110,12 @@
   trials_.recordMigration(servers_["new"]);
   EXPECT_TRUE(trials_.canTrial(servers_["new"])) << "1 of 20";
   trials_.recordMigration(servers_["old"]);
-  EXPECT_TRUE(trials_.canTrial(servers_["new"])) << "a confirmed server is no trial";
+  EXPECT_TRUE(trials_.canTrial(servers_["new"])) << "a confirmed server needs no trial";
   trials_.recordMigration(servers_["new"]);
   EXPECT_FALSE(trials_.canTrial(servers_["new"])) << "2 of 20";
 }
 
-TEST_F(TrialBudgetTest, TrialsAreUnlimitedWhereAsManyServersDepartedAsAreNew) {
+TEST_F(TrialBudgetTest, TrialsAreUnlimitedIfAsManyServersDepartedAsAreUnconfirmed) {
   for (TableId table = 0; table < 20; ++table) slices_.at(table).primary = "new";
   EXPECT_FALSE(canTrial());
   servers_["old"].departedAt = 971 * kSecond;
@@ -124,7 +124,7 @@
   EXPECT_FALSE(canTrial()) << "departed 30 s ago";
 }
 
-TEST_F(TrialBudgetTest, NoTrialsWhereHealthChecksAreAllowed) {
+TEST_F(TrialBudgetTest, NoTrialsIfHealthChecksAreAllowed) {
   settings_.healthChecksAllowed = true;
   EXPECT_FALSE(canTrial());
 }
--- a/tests/decision/wrong_endpoint_list_test.cpp
+++ b/tests/decision/invalid_endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists that are wrong: they drop servers that serve, or name servers that do not exist.
+// Invalid endpoint lists: they lack servers that still answer, or name servers that do not exist.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -12,16 +12,16 @@
   return settings;
 }
 
-// Six servers with four slices each, where a removed server need not be left.
-class WrongEndpointList : public testing::Test {
+// Six servers with four slices each. Removal is advisory: slices may stay on a removed server.
+class InvalidEndpointList : public testing::Test {
  protected:
-  WrongEndpointList() { supervisor.startAndRun(24, 8 * kSecond); }
+  InvalidEndpointList() { supervisor.startAndRun(24, 8 * kSecond); }
 
   SimulatedSupervisor supervisor{advisoryRemovalSettings(), 6};
 };
 
-// Without this, all slices would move to the few servers that a wrong list still names.
-TEST_F(WrongEndpointList, DroppedServersKeepTheirSlicesWhileTheyAnswer) {
+// Guards against migrating all slices to the few servers that an invalid list still names.
+TEST_F(InvalidEndpointList, MissingServersKeepTheirSlicesWhileTheyAnswer) {
   const auto routesBefore = supervisor.routes;
   const auto correctList = supervisor.endpoints;
   for (int server = 0; server < 5; ++server)
@@ -33,18 +33,19 @@
   supervisor.endpoints = correctList;
   supervisor.handle({supervisor.endpointList(EndpointListKind::Full)});
   supervisor.run(5 * kSecond);
-  EXPECT_EQ(supervisor.routes, routesBefore) << "after the correct list has come back";
+  EXPECT_EQ(supervisor.routes, routesBefore) << "after the correct list was received again";
 }
 
-TEST(BindingEndpointList, RemovedServerIsLeftAtOnce) {
+TEST(AuthoritativeEndpointList, RemovedServerLosesItsSlicesAtOnce) {
   SimulatedSupervisor supervisor(testSettings(), 6);
   supervisor.startAndRun(24, 8 * kSecond);
   supervisor.updateEndpoint("s_a", EndpointState::Removed);
   EXPECT_EQ(supervisor.primaryCount("s_a"), 0);
 }
 
-// Half of the fleet fails, so none of them is an outlier: the missing entry decides.
-TEST_F(WrongEndpointList, DroppedServersAreLeftWhenTheyStopAnswering) {
+// Half of the fleet fails, so no server is an outlier. The failing servers lose their slices because they are
+// also missing from the list.
+TEST_F(InvalidEndpointList, MissingServersLoseTheirSlicesWhenTheyStopAnswering) {
   for (int server = 0; server < 3; ++server) {
     supervisor.setFailureRatio(SimulatedSupervisor::serverName(server), 1);
     supervisor.endpoints.erase(SimulatedSupervisor::serverName(server));
@@ -55,7 +56,7 @@
     EXPECT_EQ(supervisor.primaryCount(SimulatedSupervisor::serverName(server)), 0) << "server " << server;
 }
 
-TEST_F(WrongEndpointList, RemovedServerThatWasDrainingIsLeftThoughRemovalIsAdvisory) {
+TEST_F(InvalidEndpointList, RemovedServerThatWasDrainingLosesItsRoutesAlthoughRemovalIsAdvisory) {
   supervisor.updateEndpoint("s_a", EndpointState::Draining);
   supervisor.updateEndpoint("s_a", EndpointState::Removed);
   supervisor.run(10 * kSecond);
@@ -63,15 +64,16 @@
     EXPECT_EQ(supervisor.routes[slice].count("s_a"), 0U) << "slice " << slice;
 }
 
-// In a deploy, as many new servers as have left are used before any report of them.
-TEST_F(WrongEndpointList, SuccessorsOfDrainingServersGetSlicesAtOnce) {
+// During a deployment, new servers replace draining ones. As many as have departed receive slices before any
+// load report confirms them.
+TEST_F(InvalidEndpointList, SuccessorsOfDrainingServersGetSlicesAtOnce) {
   supervisor.updateEndpoint("s_a", EndpointState::Draining);
   supervisor.updateEndpoint("s_z", EndpointState::Ready, supervisor.now - 17 * kSecond);
   supervisor.updateEndpoint("s_b", EndpointState::Draining);
   EXPECT_GE(supervisor.primaryCount("s_z"), 3);
 }
 
-// The parameter: whether health checks are allowed.
+// The parameter states whether health checks are allowed.
 class NewEndpoint : public testing::TestWithParam<bool> {
  protected:
   static Settings settings() {
@@ -81,7 +83,7 @@
   }
 };
 
-TEST_P(NewEndpoint, ThatNeverAnswersGetsAtMostATrialSlice) {
+TEST_P(NewEndpoint, GetsAtMostTrialSlicesIfItNeverAnswers) {
   SimulatedSupervisor supervisor(settings(), 6);
   supervisor.startAndRun(24, 8 * kSecond);
   for (const char* server : {"s_t", "s_u", "s_v", "s_w"}) {
@@ -100,7 +102,7 @@
   EXPECT_EQ(supervisor.healthCheckCounts["s_t"] > 0, GetParam());
 }
 
-TEST_P(NewEndpoint, ThatAnswersGetsSlices) {
+TEST_P(NewEndpoint, GetsSlicesIfItAnswers) {
   SimulatedSupervisor supervisor(settings(), 4);
   supervisor.startAndRun(24, 8 * kSecond);
   supervisor.updateEndpoint("s_z", EndpointState::Ready, supervisor.now - 17 * kSecond);  // warm
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -1,4 +1,5 @@
-// Outlier detection: a server that fails far more than the fleet loses its slices for a time.
+// Outlier detection of a simulated supervisor: a server that fails far more often than the others loses its
+// slices until its ejection time expires.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -6,7 +7,7 @@
 namespace peargrade {
 namespace {
 
-// Four servers with three slices each, after their first reports.
+// Four servers with three slices each, after the first load reports.
 class OutlierDetection : public testing::Test {
  protected:
   OutlierDetection() { supervisor.startAndRun(12, 6 * kSecond); }
@@ -30,21 +31,21 @@
     EXPECT_EQ(supervisor.primaryCount(SimulatedSupervisor::serverName(server)), 3);
 }
 
-TEST_F(OutlierDetection, ReportsOfAZoneThatSeesMostServersFailDoNotCount) {
+TEST_F(OutlierDetection, ReportsOfAZoneWhereMostServersFailAreIgnored) {
   for (int server = 0; server < 3; ++server)
     supervisor.failureRatios[{SimulatedSupervisor::serverName(server), 1}] = 1;
   supervisor.run(5 * kSecond);
   EXPECT_EQ(supervisor.countLogLines("is an outlier"), 0);
 }
 
-TEST_F(OutlierDetection, SlowServerThatRejectsRequestsIsOverloadedAndNoOutlier) {
+TEST_F(OutlierDetection, SlowServerThatRejectsRequestsIsOverloadedRatherThanAnOutlier) {
   supervisor.setFailureRatio("s_b", 0.5);
   supervisor.latencies["s_b"] = 700 * kMillisecond;
   supervisor.run(3 * kSecond);
   EXPECT_EQ(supervisor.countLogLines("s_b is an outlier"), 0);
 }
 
-TEST_F(OutlierDetection, FailingServerIsTriedAgainWithGrowingEjectionTime) {
+TEST_F(OutlierDetection, FailingServerIsEjectedRepeatedlyForGrowingTimes) {
   supervisor.setFailureRatio("s_b", 1);
   supervisor.run(60 * kSecond);
   EXPECT_GE(supervisor.countLogLines("s_b is an outlier"), 2);
--- a/tests/decision/proxy_tables_test.cpp
+++ b/tests/decision/proxy_tables_test.cpp
@@ -1,4 +1,5 @@
-// Deployments without slices: tables are per proxy, and servers leave them by ejection.
+// Deployments without slices: each proxy has its own table, and servers are taken out of all tables by
+// ejection.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +16,7 @@
   });
 }
 
-TEST(ProxyTables, DrainingServerIsEjectedAndReadmittedSomeTimeAfterItsRestart) {
+TEST(ProxyTables, DrainingServerIsEjectedAndReadmittedWithADelayAfterItsRestart) {
   Settings settings = testSettings();
   settings.slices = 0;
   SimulatedSupervisor supervisor(settings);
@@ -24,13 +25,13 @@
       setsEjection(supervisor.updateEndpoint("s_b", EndpointState::Draining), "s_b", EjectionState::Ejected));
   EXPECT_FALSE(setsEjection(supervisor.updateEndpoint("s_b", EndpointState::Ready, supervisor.now), "s_b",
                             EjectionState::Readmitted))
-      << "it has only just started";
-  bool readmitted = false;
-  for (int step = 0; step < 60 && !readmitted; ++step) {
+      << "the server has just started";
+  bool isReadmitted = false;
+  for (int step = 0; step < 60 && !isReadmitted; ++step) {
     supervisor.now += 250 * kMillisecond;
-    readmitted = setsEjection(supervisor.handle({TimerFired{"sweep"}}), "s_b", EjectionState::Readmitted);
+    isReadmitted = setsEjection(supervisor.handle({TimerFired{"sweep"}}), "s_b", EjectionState::Readmitted);
   }
-  EXPECT_TRUE(readmitted);
+  EXPECT_TRUE(isReadmitted);
 }
 
 }  // namespace
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Retry policy: which failed attempts proxies may repeat.
+// Retry policies that a simulated supervisor publishes.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -31,7 +31,7 @@
   }
 }
 
-// A retry after the timeout would come too late to count, and double the work.
+// A retry after such a timeout would miss the latency objective and double the load.
 TEST_F(RetryPolicyDecision, AttemptTimeoutBeyondTheLatencyObjectiveIsNotRetried) {
   Settings settings = testSettings();
   settings.attemptTimeoutObjectives = 1.2;
@@ -40,7 +40,7 @@
   EXPECT_EQ(policyOfClass0(), RetryPolicy::IfNotExecuted);
 }
 
-TEST_F(RetryPolicyDecision, OverloadAllowsRetriesOnlyIfNotExecuted) {
+TEST_F(RetryPolicyDecision, UnderOverloadRequestsAreRetriedOnlyIfNotExecuted) {
   start();
   for (int server = 0; server < 4; ++server)
     supervisor.setFailureRatio(SimulatedSupervisor::serverName(server), 0.4);
--- a/tests/decision/slice_ownership_test.cpp
+++ b/tests/decision/slice_ownership_test.cpp
@@ -1,5 +1,4 @@
-// Slice ownership: slices that are assigned to the supervisor or taken from it, and slices with a single
-// owner.
+// Slices that are assigned to the supervisor or taken from it, and handovers of single-owner slices.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -33,9 +32,9 @@
     EXPECT_EQ(supervisor.routes[slice].size(), 1U) << "slice " << slice;
 }
 
-// A handover waits for acknowledgements: where they were lost with a silent watch, nothing else asks for
-// more.
-TEST(SingleOwnerSlice, GetsItsNewOwnerThoughAcknowledgementsOfTheRemovalWereMissed) {
+// A handover waits for acknowledgements. If a watch that delivers no events loses them, nothing
+// else would cause another acknowledgement request: the engine must send one of its own.
+TEST(SingleOwnerSlice, GetsANewOwnerAlthoughAcknowledgementsOfTheRemovalWereMissed) {
   SimulatedSupervisor supervisor(singleOwnerSettings());
   supervisor.startAndRun(8, 8 * kSecond);
   supervisor.acknowledgesUpdates = false;
@@ -48,9 +47,9 @@
   EXPECT_EQ(supervisor.routes[1].size(), 1U);
 }
 
-// The old owner's route goes first. The new owner's waits for every proxy's acknowledgement and in-flight
-// writes.
-TEST(SingleOwnerSlice, GetsANewOwnerOnlyWhenTheWritesToTheOldOneHaveEnded) {
+// The route to the old owner is removed first. The route to the new owner is set only after every proxy has
+// acknowledged the removal, or lost its lease, and writes in flight have ended.
+TEST(SingleOwnerSlice, GetsANewOwnerOnlyAfterWritesToTheOldOwnerHaveEnded) {
   Settings settings = singleOwnerSettings();
   settings.inFlightWriteMax = 20 * kMillisecond;
   settings.lease = 1500 * kMillisecond;
--- a/tests/decision/start_test.cpp
+++ b/tests/decision/start_test.cpp
@@ -1,4 +1,4 @@
-// What a supervisor does with the stored routes and the cached endpoint list at its start.
+// Start of a supervisor: handling of stored routes and of the cached endpoint list.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 constexpr double kBackupWeightMax = 0.01;
 
-TEST(Start, StoredRoutesStayAndGetABackupInAnotherZone) {
+TEST(Start, StoredRoutesAreKeptAndGetABackupInAnotherZone) {
   SimulatedSupervisor supervisor;
   supervisor.startAndRun(8, 2 * kSecond);
   for (TableId slice = 0; slice < 8; ++slice) {
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(Start, SteadyFleetGetsNoFurtherRoutes) {
+TEST(Start, UnchangedFleetGetsNoFurtherRoutes) {
   SimulatedSupervisor supervisor;
   supervisor.startAndRun(8, 3 * kSecond);
   const int routesSet = supervisor.routesSet;
@@ -35,7 +35,7 @@
 }
 
 TEST(Start, EqualSeedsAndEventsGiveEqualDecisions) {
-  const auto play = [] {
+  const auto simulate = [] {
     SimulatedSupervisor supervisor(testSettings(), 5, 7);
     supervisor.start(20);
     supervisor.latencies["s_b"] = 90 * kMillisecond;
@@ -46,14 +46,14 @@
     supervisor.run(5 * kSecond);
     return std::make_pair(supervisor.routes, supervisor.logLines);
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(simulate(), simulate());
 }
 
-// ---- Cached list: it names s_a and s_b only ----
+// ---- Cached list that names only s_a and s_b ----
 
 using StoredRoutes = std::function<SimulatedSupervisor::RouteTable(TableId)>;
 
-// A start with four slices and one connected proxy. No current list has come yet.
+// Starts with four slices and one connected proxy. No current endpoint list has been received.
 void startFromCachedList(SimulatedSupervisor& supervisor, bool newProxyIncarnation,
                          const StoredRoutes& storedRoutes) {
   EndpointListUpdate cached;
@@ -69,7 +69,7 @@
   supervisor.handle(events);
 }
 
-TEST(Start, PolledCachedListDoesNotEmptyServersThatItDoesNotName) {
+TEST(Start, PolledCachedListKeepsSlicesOnServersThatItDoesNotName) {
   Settings settings = testSettings();
   settings.endpointsOnRequest = true;
   SimulatedSupervisor supervisor(settings);
@@ -82,11 +82,12 @@
 
   supervisor.endpoints.erase("s_d");
   supervisor.handle({supervisor.endpointList(EndpointListKind::Full)});
-  EXPECT_NE(supervisor.primaryServer(3), "s_d") << "the current list does not name it either";
+  EXPECT_NE(supervisor.primaryServer(3), "s_d") << "the current list does not name s_d either";
 }
 
-// Where changes are pushed, none may follow: the cached list alone says that s_d is gone.
-TEST(Start, PushedCachedListIsInForceWithoutFurtherUpdates) {
+// Where changes are pushed, an unchanged list is not sent again: the supervisor must conclude from the cached
+// list alone that s_d was removed.
+TEST(Start, PushedCachedListBecomesCurrentWithoutFurtherUpdates) {
   SimulatedSupervisor supervisor;
   startFromCachedList(supervisor, false, [](TableId) {
     return SimulatedSupervisor::RouteTable{{"s_a", 1}, {"s_d", 0.001}};
--- a/tests/decision/unexpected_events_test.cpp
+++ b/tests/decision/unexpected_events_test.cpp
@@ -1,4 +1,4 @@
-// Events that contradict what the engine knows, come late, or hold extreme values.
+// Events that refer to unknown ids, arrive late or contain extreme values.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -32,11 +32,11 @@
   EXPECT_EQ(supervisor.routes, routesBefore);
 }
 
-// The parameter: the id of the new server, before or after the others in their order.
+// The parameter is the id of the new server: it sorts before or after the ids of the others.
 class ServerWithoutInitialCapacity : public testing::TestWithParam<const char*> {};
 
-// No capacity and a start time in the future must not make the estimates infinite or undefined.
-TEST_P(ServerWithoutInitialCapacity, TakesAllSlicesWhenNoOtherServerIsLeft) {
+// An initial capacity of 0 and a start time in the future must not make estimates infinite or NaN.
+TEST_P(ServerWithoutInitialCapacity, ReceivesAllSlicesIfNoOtherServerIsReady) {
   Settings settings = testSettings();
   settings.initialCapacity = 0;
   settings.slices = 40;  // this supervisor has 8
--- a/tests/decision/update_budget_test.cpp
+++ b/tests/decision/update_budget_test.cpp
@@ -1,4 +1,4 @@
-// The limits of an update, and the handover of slices with a single owner.
+// UpdateBudget: message and pending limits. SliceHandover: handover of single-owner slices.
 #include "decision/update_budget.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   UpdateBudget budget_{settings_, clock_, channel_};
 };
 
-TEST_F(UpdateBudgetTest, OverheadHoldsTheFleetsRatiosAndTheAcknowledgementRequest) {
+TEST_F(UpdateBudgetTest, MessageOverheadIncludesFleetRatiosAndAcknowledgementRequest) {
   EXPECT_EQ(budget_.messageOverhead(), 7 + 2 + 1);
 }
 
@@ -40,7 +40,7 @@
   EXPECT_LT(budget_.capacityLeft(UpdatePriority::Backup), 0);
 }
 
-TEST_F(UpdateBudgetTest, UpdatesWithoutEvacuationsGoEveryHalfSecond) {
+TEST_F(UpdateBudgetTest, UpdatesWithoutEvacuationsAreSentAtMostEveryHalfSecond) {
   budget_.send(1);
   EXPECT_FALSE(budget_.canSend(UpdatePriority::Migration, 1, false));
   EXPECT_TRUE(budget_.canSend(UpdatePriority::Evacuation, 1, false));
@@ -48,7 +48,7 @@
   EXPECT_TRUE(budget_.canSend(UpdatePriority::Migration, 1, false));
 }
 
-TEST_F(UpdateBudgetTest, MessageLimitStopsLessUrgentUpdatesFirst) {
+TEST_F(UpdateBudgetTest, MessageLimitDelaysLessUrgentUpdatesFirst) {
   for (int message = 0; message < 7; ++message) budget_.send(1);
   EXPECT_FALSE(budget_.canSend(UpdatePriority::Evacuation, 1, false));
   EXPECT_TRUE(budget_.canSend(UpdatePriority::Critical, 1, false));
@@ -60,11 +60,12 @@
   budget_.send(60);
   EXPECT_LT(budget_.capacityLeft(UpdatePriority::Critical), 0.25 * 90);
   EXPECT_FALSE(budget_.canSend(UpdatePriority::Critical, 50, false));
-  EXPECT_TRUE(budget_.canSend(UpdatePriority::Critical, 10, false)) << "all of it has capacity";
+  EXPECT_TRUE(budget_.canSend(UpdatePriority::Critical, 10, false))
+      << "there is capacity for the complete update";
   EXPECT_TRUE(budget_.canSend(UpdatePriority::Critical, 50, true));
 }
 
-TEST_F(UpdateBudgetTest, WithSlicesTheWholeFleetReceivesUpdates) {
+TEST_F(UpdateBudgetTest, WithSlicesEveryProxyOfTheFleetCountsAsReceiver) {
   EXPECT_EQ(budget_.receivers(), 10);
   settings_.proxies = 40;
   EXPECT_EQ(budget_.receivers(), 10);
@@ -104,13 +105,13 @@
   EXPECT_EQ(std::get<SetRoute>(routes[0]).weight, 0);
 }
 
-TEST_F(SliceHandoverTest, NewOwnerFollowsOnceAllProxiesAcknowledgedAndWritesEnded) {
+TEST_F(SliceHandoverTest, NewOwnerIsSetOnceAllProxiesAcknowledgedAndWritesEnded) {
   removeOldOwner();
   EXPECT_EQ(nextRoutes(), 0u);
   handover_.recordAcknowledgement(slices_, 1, 5);
   handover_.recordAcknowledgement(slices_, 2, 4);
   advance(10 * kSecond);
-  EXPECT_EQ(nextRoutes(), 0u) << "proxy 2 acknowledged an earlier update";
+  EXPECT_EQ(nextRoutes(), 0u) << "proxy 2 has only acknowledged an earlier update";
   handover_.recordAcknowledgement(slices_, 2, 5);
   advance(kSecond - 1);
   EXPECT_EQ(nextRoutes(), 0u);
@@ -118,7 +119,7 @@
   EXPECT_EQ(nextRoutes(), 1u);
 }
 
-TEST_F(SliceHandoverTest, DisconnectedProxyWritesUntilItsLeaseEnds) {
+TEST_F(SliceHandoverTest, DisconnectedProxyDelaysTheNewOwnerUntilItsLeaseExpires) {
   removeOldOwner();
   handover_.recordAcknowledgement(slices_, 1, 5);
   handover_.recordConnectionChange(slices_, 2);
--- a/tests/decision/update_channel_model_test.cpp
+++ b/tests/decision/update_channel_model_test.cpp
@@ -1,6 +1,6 @@
-// The pending limit against a model of the update channel that counts routes as the wire's page says:
-// generated connections, disconnections, drains, restarts and incomplete deliveries, from fixed seeds, at
-// sizes from a few proxies to a fleet.
+// Model tests of the pending limit. A model of the update channel counts the routes in flight as the wire
+// protocol defines them, while connections, disconnections, drains, restarts and incomplete deliveries are
+// generated from fixed seeds. Sizes range from ten proxies to a large fleet.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -12,8 +12,8 @@
 namespace peargrade {
 namespace {
 
-/// A server that drains is back, as a new process, after this time.
-constexpr Micros kBackAfterDrain = 9 * kSecond;
+/// A draining server is ready again, as a new process, after this time.
+constexpr Micros kRestartAfterDrain = 9 * kSecond;
 
 struct Case {
   int proxies;
@@ -23,194 +23,202 @@
 
 class UpdateChannelModel : public testing::TestWithParam<Case> {
  protected:
-  /// One message of an update, as far as it has not left.
+  /// The message of an update to each of its receivers.
   struct Message {
     double routes;
     int updateId;
-    std::set<ProxyId> to;
+    std::set<ProxyId> receivers;  // those to which it has not been transmitted yet
   };
 
-  int pick(int n) { return static_cast<int>(chance.next() % static_cast<std::uint64_t>(n)); }
-  bool likely(double p) { return chance.uniform() < p; }
+  /// A random integer from 0 to `limit` - 1.
+  int randomBelow(int limit) { return static_cast<int>(random.next() % static_cast<std::uint64_t>(limit)); }
+  bool occurs(double probability) { return random.uniform() < probability; }
   void schedule(Micros delay, std::function<void()> task) {
-    agenda.emplace(supervisor->now + delay, std::move(task));
+    scheduledTasks.emplace(supervisor->now + delay, std::move(task));
   }
-  void post(Event event) { events.push_back(std::move(event)); }
+  /// Adds an event to the batch of the next step.
+  void addEvent(Event event) { events.push_back(std::move(event)); }
 
-  void begin() {
-    const Case& c = GetParam();
-    settings.slices = c.slices;
-    settings.proxies = c.proxies;
+  void createSupervisor() {
+    const Case& parameters = GetParam();
+    settings.slices = parameters.slices;
+    settings.proxies = parameters.proxies;
     settings.deliveryReported = true;
-    settings.routesPerSecond = std::max(30000.0, c.slices * c.proxies / 6.0);
+    settings.routesPerSecond = std::max(30000.0, parameters.slices * parameters.proxies / 6.0);
     settings.pendingRoutesMax = 1.5 * settings.routesPerSecond;
     settings.messageOverheadRoutes = 16;
     settings.messagesPerProxyMax = 30;
-    supervisor = std::make_unique<SimulatedSupervisor>(settings, 20, c.seed);
+    supervisor = std::make_unique<SimulatedSupervisor>(settings, 20, parameters.seed);
     supervisor->acknowledgesUpdates = false;
     supervisor->reportsLoad = false;
   }
 
-  /// The relay sends an update: a message of an overhead and its routes to each proxy connected by then.
+  /// The relay sends an update: one message, an overhead and the routes, to each proxy that is connected now.
   void sendMessages(const std::vector<Action>& update) {
-    Message m{settings.messageOverheadRoutes + static_cast<double>(settings.classes.size()), 0, connected};
-    for (const Action& a : update) {
-      const auto* admission = std::get_if<SetAdmission>(&a);
-      m.routes +=
-          admission == nullptr || admission->table != kAllTables;  // the fleet's ratios are in the overhead
-      if (const auto* request = std::get_if<AcknowledgementRequest>(&a)) m.updateId = request->updateId;
+    Message message{settings.messageOverheadRoutes + static_cast<double>(settings.classes.size()), 0,
+                    connected};
+    for (const Action& action : update) {
+      const auto* admission = std::get_if<SetAdmission>(&action);
+      // The ratios of the fleet are part of the overhead.
+      message.routes += admission == nullptr || admission->table != kAllTables;
+      if (const auto* request = std::get_if<AcknowledgementRequest>(&action))
+        message.updateId = request->updateId;
     }
-    inFlight += m.routes * static_cast<double>(m.to.size());
-    enqueue(std::move(m));
-    most = std::max(most, inFlight / settings.pendingRoutesMax);
+    inFlight += message.routes * static_cast<double>(message.receivers.size());
+    enqueue(std::move(message));
+    maxPendingShare = std::max(maxPendingShare, inFlight / settings.pendingRoutesMax);
     EXPECT_LE(inFlight, settings.pendingRoutesMax)
         << "at " << (supervisor->now - startedAt) / kMillisecond << " ms";
   }
-  virtual void enqueue(Message m) { channel.push_back(std::move(m)); }
-  /// Each update is delivered, or its delivery is unknown and it was sent or not, or it is delayed for long.
-  void deliver(const std::vector<Action>& out) {
+  virtual void enqueue(Message message) { channel.push_back(std::move(message)); }
+  /// Delivers the update in `actions`, if there is one. Depending on `unknownShare`, it may be delayed for up
+  /// to 6 s, and its delivery may be reported as incomplete whether it is sent or not.
+  void deliver(const std::vector<Action>& actions) {
     std::vector<Action> update;
-    for (const Action& a : out) {
-      if (!std::holds_alternative<Log>(a) && !std::holds_alternative<SetTimer>(a)) update.push_back(a);
+    for (const Action& action : actions) {
+      if (!std::holds_alternative<Log>(action) && !std::holds_alternative<SetTimer>(action))
+        update.push_back(action);
     }
     if (update.empty() || !std::holds_alternative<AcknowledgementRequest>(update.back())) return;
     const int updateId = std::get<AcknowledgementRequest>(update.back()).updateId;
-    const bool isUnknown = likely(unknownShare);
-    const bool isSent = !isUnknown || likely(0.5);
-    const Micros sentAfter = (likely(unknownShare) ? pick(6000) : 1 + pick(40)) * kMillisecond;
-    if (isSent) schedule(sentAfter, [=] { sendMessages(update); });
-    schedule(sentAfter + (isUnknown ? 150 : 3) * kMillisecond, [=] {
-      post(UpdateDelivery{updateId, !isUnknown ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete, 1});
+    const bool isUnknown = occurs(unknownShare);
+    const bool isSent = !isUnknown || occurs(0.5);
+    const Micros sendDelay = (occurs(unknownShare) ? randomBelow(6000) : 1 + randomBelow(40)) * kMillisecond;
+    if (isSent) schedule(sendDelay, [=] { sendMessages(update); });
+    schedule(sendDelay + (isUnknown ? 150 : 3) * kMillisecond, [=] {
+      addEvent(
+          UpdateDelivery{updateId, !isUnknown ? DeliveryOutcome::Accepted : DeliveryOutcome::Incomplete, 1});
     });
   }
-  void connect(ProxyId p) {
-    connected.insert(p);
-    schedule(pick(300) * kMillisecond, [=] {
-      post(ProxyConnected{p, p % 2, 5, false});
-    });  // its event comes later
+  /// The supervisor receives the event up to 300 ms after the connection.
+  void connect(ProxyId proxy) {
+    connected.insert(proxy);
+    schedule(randomBelow(300) * kMillisecond, [=] { addEvent(ProxyConnected{proxy, proxy % 2, 5, false}); });
   }
-  virtual void disconnect(ProxyId p) {
-    connected.erase(p);
-    for (Message& m : channel) inFlight -= m.to.erase(p) > 0 ? m.routes : 0;
-    schedule(pick(300) * kMillisecond, [=] { post(ProxyDisconnected{p}); });
+  virtual void disconnect(ProxyId proxy) {
+    connected.erase(proxy);
+    for (Message& message : channel) inFlight -= message.receivers.erase(proxy) > 0 ? message.routes : 0;
+    schedule(randomBelow(300) * kMillisecond, [=] { addEvent(ProxyDisconnected{proxy}); });
   }
-  /// Servers drain together, and restart.
+  /// Up to `count` servers start to drain at the same time, and restart later.
   void drain(int count) {
     for (int k = 0; k < count; ++k) {
-      const std::string name = SimulatedSupervisor::serverName(pick(20));
+      const std::string name = SimulatedSupervisor::serverName(randomBelow(20));
       EndpointListUpdate draining{EndpointListKind::Delta, 0, {supervisor->endpoints[name]}};
       draining.endpoints[0].state = EndpointState::Draining;
-      post(draining);
-      schedule(kBackAfterDrain, [=] {
-        EndpointListUpdate back{EndpointListKind::Delta, 0, {supervisor->endpoints[name]}};
-        back.endpoints[0].startedAt = supervisor->now;
-        post(back);
+      addEvent(draining);
+      schedule(kRestartAfterDrain, [=] {
+        EndpointListUpdate restarted{EndpointListKind::Delta, 0, {supervisor->endpoints[name]}};
+        restarted.endpoints[0].startedAt = supervisor->now;
+        addEvent(restarted);
       });
     }
   }
   void step(Micros span) {
     supervisor->now += span;
-    while (!agenda.empty() && agenda.begin()->first <= supervisor->now) {
-      const auto task = agenda.begin()->second;
-      agenda.erase(agenda.begin());
+    while (!scheduledTasks.empty() && scheduledTasks.begin()->first <= supervisor->now) {
+      const auto task = scheduledTasks.begin()->second;
+      scheduledTasks.erase(scheduledTasks.begin());
       task();
     }
-    drainChannel(settings.routesPerSecond / slow * static_cast<double>(span) / kSecond);
+    transmit(settings.routesPerSecond / slowdown * static_cast<double>(span) / kSecond);
     deliver(supervisor->handle(std::exchange(events, {TimerFired{"sweep"}})));
   }
-  virtual void drainChannel(double capacity) {
+  /// Transmits about `capacity` routes from the channel to the proxies, which acknowledge them later.
+  virtual void transmit(double capacity) {
     while (!channel.empty() && capacity > 0) {
-      Message& m = channel.front();
-      for (; !m.to.empty() && capacity >= 0; capacity -= m.routes) {
-        const ProxyId p = *m.to.begin();
-        m.to.erase(m.to.begin());
-        inFlight -= m.routes;
-        const int updateId = m.updateId;
-        if (p % 20 != 7)  // some never answer
-          schedule(100 * kMillisecond + pick(600) * kMillisecond, [=] {
-            if (!isWatchSilent) post(UpdateAcknowledged{p, updateId, kMillisecond});
+      Message& message = channel.front();
+      for (; !message.receivers.empty() && capacity >= 0; capacity -= message.routes) {
+        const ProxyId proxy = *message.receivers.begin();
+        message.receivers.erase(message.receivers.begin());
+        inFlight -= message.routes;
+        const int updateId = message.updateId;
+        if (proxy % 20 != 7)  // one proxy in 20 never acknowledges updates
+          schedule(100 * kMillisecond + randomBelow(600) * kMillisecond, [=] {
+            if (!isWatchSilent) addEvent(UpdateAcknowledged{proxy, updateId, kMillisecond});
           });
       }
-      if (m.to.empty()) channel.pop_front();
+      if (message.receivers.empty()) channel.pop_front();
     }
   }
-  /// The servers, slices and proxies that every test begins with, and a first drain.
+  /// Starts the supervisor with the servers, slices and proxies of the parameters, and drains some servers.
   void start() {
-    begin();
-    const Case& c = GetParam();
-    std::vector<Event> ev = supervisor->startEvents(c.slices);
-    for (Event& e : ev) {  // the proxies connect before their events
-      if (!std::holds_alternative<ProxyConnected>(e)) post(std::move(e));
+    createSupervisor();
+    const Case& parameters = GetParam();
+    std::vector<Event> startEvents = supervisor->startEvents(parameters.slices);
+    for (Event& event : startEvents) {  // `connect` adds the events of the proxies
+      if (!std::holds_alternative<ProxyConnected>(event)) addEvent(std::move(event));
     }
-    for (int p = 0; p < c.proxies; ++p) connect(p);
+    for (int proxy = 0; proxy < parameters.proxies; ++proxy) connect(proxy);
     step(20 * kMillisecond);
     drain(6);
     step(10 * kMillisecond);
   }
-  /// The channel is as fast as stated again, and nothing more happens: no update is held back for good.
-  void expectAllServed() {
-    slow = 1;
+  /// Runs without further faults at the stated speed of the channel, and checks that no update is delayed
+  /// forever: every slice ends up with routes to ready servers only.
+  void expectAllSlicesRouted() {
+    slowdown = 1;
     unknownShare = 0;
     for (int k = 0; k < 200; ++k) step(250 * kMillisecond);
-    for (int t = 0; t < GetParam().slices; ++t) {
-      EXPECT_FALSE(supervisor->routes[t].empty()) << t;
-      for (const auto& [server, w] : supervisor->routes[t])
-        EXPECT_EQ(supervisor->endpoints[server].state, EndpointState::Ready) << t;
+    for (int slice = 0; slice < GetParam().slices; ++slice) {
+      EXPECT_FALSE(supervisor->routes[slice].empty()) << slice;
+      for (const auto& [server, weight] : supervisor->routes[slice])
+        EXPECT_EQ(supervisor->endpoints[server].state, EndpointState::Ready) << slice;
     }
   }
 
   Settings settings = testSettings();
   std::unique_ptr<SimulatedSupervisor> supervisor;
-  decision::Random chance{GetParam().seed};
+  decision::Random random{GetParam().seed};
   const Micros startedAt = 1000 * kSecond;
-  std::multimap<Micros, std::function<void()>> agenda;
-  std::vector<Event> events;
+  std::multimap<Micros, std::function<void()>> scheduledTasks;  // by due time
+  std::vector<Event> events;                                    // of the next step
   std::set<ProxyId> connected;
   std::deque<Message> channel;
-  double inFlight = 0;         // routes, of all proxies
-  double slow = 1;             // times slower than the settings say
-  double unknownShare = 0;     // of the updates
-  bool isWatchSilent = false;  // acknowledgements are lost
-  double most = 0;             // routes in flight at a time, as a share of the pending limit
+  double inFlight = 0;         // routes in flight, summed over the proxies
+  double slowdown = 1;         // how many times slower the channel is than the settings state
+  double unknownShare = 0;     // share of the updates whose delivery is unknown
+  bool isWatchSilent = false;  // whether acknowledgements are lost
+  double maxPendingShare = 0;  // largest number of routes in flight, as a share of the pending limit
 };
 
 TEST_P(UpdateChannelModel, PendingLimitHoldsAndEveryDrainingServerIsLeft) {
   start();
-  const Case& c = GetParam();
+  const Case& parameters = GetParam();
   for (int round = 0; round < 8; ++round) {
-    slow = 1 + chance.uniform() * (c.seed % 2 == 1 ? 7 : 1);
+    slowdown = 1 + random.uniform() * (parameters.seed % 2 == 1 ? 7 : 1);
     unknownShare = round % 2 == 1 ? 0.4 : 0;
     for (int k = 0; k < 4; ++k) {
-      if (likely(0.6)) drain(1 + pick(5));
-      const bool crowd = likely(0.3);
-      for (int p = 0; p < c.proxies; ++p) {
-        if (!likely(crowd ? 0.4 : 0.01)) continue;
-        if (connected.count(p) > 0) disconnect(p);
-        schedule(crowd ? 2 * kSecond : pick(4000) * kMillisecond, [=] {
-          if (connected.count(p) == 0) connect(p);
+      if (occurs(0.6)) drain(1 + randomBelow(5));
+      const bool isMassReconnection = occurs(0.3);
+      for (int proxy = 0; proxy < parameters.proxies; ++proxy) {
+        if (!occurs(isMassReconnection ? 0.4 : 0.01)) continue;
+        if (connected.count(proxy) > 0) disconnect(proxy);
+        schedule(isMassReconnection ? 2 * kSecond : randomBelow(4000) * kMillisecond, [=] {
+          if (connected.count(proxy) == 0) connect(proxy);
         });
       }
-      for (int k2 = 0; k2 < 10; ++k2) step(100 * kMillisecond + pick(150) * kMillisecond);
+      for (int k2 = 0; k2 < 10; ++k2) step(100 * kMillisecond + randomBelow(150) * kMillisecond);
       if (HasFailure()) return;
     }
   }
-  expectAllServed();
+  expectAllSlicesRouted();
 }
 
-// What makes up for lost acknowledgements must not overfill the channel.
+// The acknowledgement requests that replace lost acknowledgements must not exceed the pending limit.
 TEST_P(UpdateChannelModel, PendingLimitHoldsWhereTheWatchFallsSilent) {
   start();
   for (int round = 0; round < 12; ++round) {
-    slow = 1 + chance.uniform() * 7;
+    slowdown = 1 + random.uniform() * 7;
     isWatchSilent = round % 3 != 0;
-    if (likely(0.6)) drain(1 + pick(5));
+    if (occurs(0.6)) drain(1 + randomBelow(5));
     for (int k = 0; k < 15; ++k) {
-      step(100 * kMillisecond + pick(150) * kMillisecond);
+      step(100 * kMillisecond + randomBelow(150) * kMillisecond);
     }
-    if (std::exchange(isWatchSilent, false)) post(AcknowledgementsMissed{});
+    if (std::exchange(isWatchSilent, false)) addEvent(AcknowledgementsMissed{});
     if (HasFailure()) return;
   }
-  expectAllServed();
+  expectAllSlicesRouted();
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, UpdateChannelModel,
@@ -222,139 +230,147 @@
                                   std::to_string(info.param.seed);
                          });
 
-/// A channel where each copy of a message has its turn from when it is sent. Copies for a proxy that
-/// disconnects still take theirs, but what is sent later moves forward by as much: it overtakes copies sent
-/// before to other proxies. A proxy's own copies stay in order.
+/// A channel in which each copy of a message gets a position in the queue when it is sent. Copies for a proxy
+/// that disconnects keep their positions and still use transmission time, but messages sent later get
+/// positions that are earlier by the size of these copies: they overtake copies sent before to other proxies.
+/// The copies for one proxy stay in order.
 class OvertakingChannelModel : public UpdateChannelModel {
  protected:
+  /// The copy of a message for one proxy.
   struct Copy {
-    ProxyId to;
-    int connection;
+    ProxyId receiver;
+    int connection;  // number of the receiver's connection when the copy was sent
     int updateId;
     double routes;
-    double turn;
+    double position;  // transmitted once transmittedPosition has reached this
   };
 
-  void enqueue(Message m) override {
-    for (const ProxyId p : m.to) {
-      end = std::max(end, served) + m.routes;
-      copies[p].push_back({p, connections[p], m.updateId, m.routes, end});
+  void enqueue(Message message) override {
+    for (const ProxyId proxy : message.receivers) {
+      endPosition = std::max(endPosition, transmittedPosition) + message.routes;
+      copies[proxy].push_back({proxy, connections[proxy], message.updateId, message.routes, endPosition});
     }
   }
-  /// The event comes late, or with its connection where the proxy is back before that.
-  void disconnect(ProxyId p) override {
-    connected.erase(p);
-    ++connections[p];
-    for (Copy& c : copies[p]) {
-      end -= c.routes;
-      dead.push_back(c);
+  /// The supervisor receives the event up to 300 ms later. If the proxy reconnects and the event of the new
+  /// connection is due before, both events are received together.
+  void disconnect(ProxyId proxy) override {
+    connected.erase(proxy);
+    ++connections[proxy];
+    for (Copy& copy : copies[proxy]) {
+      endPosition -= copy.routes;
+      copiesToDisconnected.push_back(copy);
     }
-    copies[p].clear();
-    unread.insert(p);
-    schedule(pick(300) * kMillisecond, [=] {
-      if (unread.erase(p) > 0) post(ProxyDisconnected{p});
+    copies[proxy].clear();
+    unreportedDisconnections.insert(proxy);
+    schedule(randomBelow(300) * kMillisecond, [=] {
+      if (unreportedDisconnections.erase(proxy) > 0) addEvent(ProxyDisconnected{proxy});
     });
   }
-  void reconnect(ProxyId p) {
-    connected.insert(p);
-    schedule(pick(300) * kMillisecond, [=, connection = connections[p]] {
-      if (connections[p] != connection) return;
-      if (unread.erase(p) > 0) {
-        post(ProxyDisconnected{p});
-        ++crossed;
+  void reconnect(ProxyId proxy) {
+    connected.insert(proxy);
+    schedule(randomBelow(300) * kMillisecond, [=, connection = connections[proxy]] {
+      if (connections[proxy] != connection) return;
+      if (unreportedDisconnections.erase(proxy) > 0) {
+        addEvent(ProxyDisconnected{proxy});
+        ++lateDisconnectionEvents;
       }
-      post(ProxyConnected{p, p % 2, 5, true});
-      known[p] = connection;
+      addEvent(ProxyConnected{proxy, proxy % 2, 5, true});
+      reportedConnections[proxy] = connection;
     });
   }
-  void drainChannel(double capacity) override {
-    served += capacity;
-    for (auto& [p, queue] : copies) {
-      for (; !queue.empty() && queue.front().turn <= served; queue.pop_front()) {
+  void transmit(double capacity) override {
+    transmittedPosition += capacity;
+    for (auto& [proxy, queue] : copies) {
+      for (; !queue.empty() && queue.front().position <= transmittedPosition; queue.pop_front()) {
         inFlight -= queue.front().routes;
-        if (p % 20 == 7) continue;  // some never answer
-        schedule(100 * kMillisecond + pick(600) * kMillisecond, [this, c = queue.front()] {
-          if (connections[c.to] == c.connection && known[c.to] == c.connection)
-            post(UpdateAcknowledged{c.to, c.updateId, kMillisecond});
+        if (proxy % 20 == 7) continue;  // one proxy in 20 never acknowledges updates
+        schedule(100 * kMillisecond + randomBelow(600) * kMillisecond, [this, copy = queue.front()] {
+          if (connections[copy.receiver] == copy.connection &&
+              reportedConnections[copy.receiver] == copy.connection)
+            addEvent(UpdateAcknowledged{copy.receiver, copy.updateId, kMillisecond});
         });
       }
     }
-    for (std::size_t k = 0; k < dead.size();) {
-      if (dead[k].turn > served) {
+    for (std::size_t k = 0; k < copiesToDisconnected.size();) {
+      if (copiesToDisconnected[k].position > transmittedPosition) {
         ++k;
         continue;
       }
-      inFlight -= dead[k].routes;
-      dead[k] = dead.back();
-      dead.pop_back();
+      inFlight -= copiesToDisconnected[k].routes;
+      copiesToDisconnected[k] = copiesToDisconnected.back();
+      copiesToDisconnected.pop_back();
     }
   }
-  /// Half of the servers stay: without any there would be nothing to update.
-  void drainSome() {
-    while (!drains.empty() && drains.front() < supervisor->now - 9 * kSecond) drains.pop_front();
-    if (drains.size() >= 10) return;
-    drains.push_back(supervisor->now);
+  /// Drains a server, but at most 10 of 20 at the same time: without ready servers there are no routes to
+  /// send.
+  void drainOneOfHalf() {
+    while (!drainTimes.empty() && drainTimes.front() < supervisor->now - 9 * kSecond) drainTimes.pop_front();
+    if (drainTimes.size() >= 10) return;
+    drainTimes.push_back(supervisor->now);
     drain(1);
   }
-  void killMost() {
-    for (int p = 0; p < GetParam().proxies; ++p) {
-      if (connected.count(p) == 0 || !likely(0.7)) continue;
-      disconnect(p);
-      schedule((likely(0.3) ? pick(200) : 1200 + pick(2000)) * kMillisecond, [=] { reconnect(p); });
+  /// Disconnects most proxies. Each reconnects after at most 3.2 s.
+  void disconnectMost() {
+    for (int proxy = 0; proxy < GetParam().proxies; ++proxy) {
+      if (connected.count(proxy) == 0 || !occurs(0.7)) continue;
+      disconnect(proxy);
+      schedule((occurs(0.3) ? randomBelow(200) : 1200 + randomBelow(2000)) * kMillisecond,
+               [=] { reconnect(proxy); });
     }
   }
 
-  std::map<ProxyId, std::deque<Copy>> copies;
-  std::vector<Copy> dead;
-  std::map<ProxyId, int> connections;  // of each proxy so far
-  std::map<ProxyId, int> known;        // the same, as far as events were read
-  std::deque<Micros> drains;           // of the last 9 s
-  std::set<ProxyId> unread;            // its leaving is not events yet
-  double served = 0, end = 0;          // of all lines: those whose turn has come, and the next turn
-  int crossed = 0;                     // came back before its leaving was events
+  std::map<ProxyId, std::deque<Copy>> copies;  // queued copies for connected proxies
+  std::vector<Copy> copiesToDisconnected;      // queued copies for proxies that disconnected
+  std::map<ProxyId, int> connections;          // number of connections of each proxy so far
+  std::map<ProxyId, int> reportedConnections;  // the same, as far as their events were added
+  std::deque<Micros> drainTimes;               // of the last 9 s
+  std::set<ProxyId> unreportedDisconnections;  // disconnected proxies whose event was not added yet
+  double transmittedPosition = 0;              // copies up to this position of the queue were transmitted
+  double endPosition = 0;                      // end of the queue
+  int lateDisconnectionEvents = 0;             // disconnections reported only with the next connection
 };
 
 TEST_P(OvertakingChannelModel, PendingLimitHoldsWhenMostProxiesAreKilledAndReconnect) {
   start();
   for (int round = 0; round < 10; ++round) {
-    slow = 1 + chance.uniform() * 7;
+    slowdown = 1 + random.uniform() * 7;
     for (int k = 0; k < 10; ++k) {
-      drainSome();
-      step(100 * kMillisecond + pick(150) * kMillisecond);
+      drainOneOfHalf();
+      step(100 * kMillisecond + randomBelow(150) * kMillisecond);
     }
-    killMost();
+    disconnectMost();
     for (int k = 0; k < 40; ++k) {
-      if (likely(0.3)) drainSome();
-      step(50 * kMillisecond + pick(150) * kMillisecond);
+      if (occurs(0.3)) drainOneOfHalf();
+      step(50 * kMillisecond + randomBelow(150) * kMillisecond);
     }
     if (HasFailure()) return;
   }
-  EXPECT_GT(crossed, 0);
-  EXPECT_GT(most, GetParam().proxies < 100 ? 0 : 0.5) << "the channel was never filled";
-  expectAllServed();
+  EXPECT_GT(lateDisconnectionEvents, 0);
+  EXPECT_GT(maxPendingShare, GetParam().proxies < 100 ? 0 : 0.5) << "the channel was never filled";
+  expectAllSlicesRouted();
 }
 
-// Where every server drains in turn, all may be ejected at once: once all are ready again, the first is
-// readmitted within the time for which a slice may be unroutable.
+// If every server drains in turn, all may be ejected at the same time. Once all are ready again, the first
+// must be readmitted within the time for which a slice may be unroutable.
 TEST_P(OvertakingChannelModel, ServersAreReadmittedAfterAllOfThemDrained) {
   start();
   for (int round = 0; round < 10; ++round) {
-    slow = 1 + chance.uniform() * 7;
+    slowdown = 1 + random.uniform() * 7;
     for (int k = 0; k < 10; ++k) {
       drain(1);
-      step(100 * kMillisecond + pick(150) * kMillisecond);
+      step(100 * kMillisecond + randomBelow(150) * kMillisecond);
     }
-    killMost();
+    disconnectMost();
     for (int k = 0; k < 40; ++k) {
-      if (likely(0.3)) drain(1);
-      step(50 * kMillisecond + pick(150) * kMillisecond);
+      if (occurs(0.3)) drain(1);
+      step(50 * kMillisecond + randomBelow(150) * kMillisecond);
     }
   }
-  for (Micros end = supervisor->now + kBackAfterDrain; supervisor->now < end;) step(100 * kMillisecond);
+  for (Micros end = supervisor->now + kRestartAfterDrain; supervisor->now < end;) step(100 * kMillisecond);
   for (Micros end = supervisor->now + settings.unroutableMax; supervisor->now < end;)
     step(100 * kMillisecond);
   EXPECT_LT(supervisor->ejectedServers.size(), supervisor->endpoints.size());
-  expectAllServed();
+  expectAllSlicesRouted();
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, OvertakingChannelModel,
--- a/tests/decision/update_delivery_test.cpp
+++ b/tests/decision/update_delivery_test.cpp
@@ -1,5 +1,5 @@
-// Update delivery: what the engine does while the outcome of an update is open, and when it was not
-// delivered.
+// Update delivery: decisions while the outcome of an update is awaited, after incomplete deliveries, and
+// after missed acknowledgements.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -29,7 +29,7 @@
   return entries;
 }
 
-// The id of the update that these actions form; -1: there is none.
+// The id of the update that these actions form; -1 if they form none.
 int updateIdOf(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* request = std::get_if<AcknowledgementRequest>(&action)) return request->updateId;
@@ -45,17 +45,17 @@
     return settings;
   }
 
-  std::vector<Action> handleLater(const std::vector<Event>& events) {
+  std::vector<Action> advanceAndHandle(const std::vector<Event>& events) {
     supervisor.now += 20 * kMillisecond;
     return supervisor.handle(events);
   }
-  // Starts with 8 slices: the first update is accepted and acknowledged.
+  // Starts with 8 slices. The first update is accepted and acknowledged.
   void start() {
     supervisor.acknowledgesUpdates = false;
     const int updateId = updateIdOf(supervisor.handle(supervisor.startEvents(8)));
     std::vector<Event> events{UpdateDelivery{updateId, DeliveryOutcome::Accepted, 1}};
     appendAcknowledgements(events, updateId);
-    handleLater(events);
+    advanceAndHandle(events);
     supervisor.now += 2 * kSecond;
   }
   static void appendAcknowledgements(std::vector<Event>& events, int updateId) {
@@ -64,10 +64,10 @@
   }
   std::vector<Action> reportOutcome(const std::vector<Action>& update, DeliveryOutcome outcome,
                                     int messages = 1) {
-    return handleLater({UpdateDelivery{updateIdOf(update), outcome, messages}});
+    return advanceAndHandle({UpdateDelivery{updateIdOf(update), outcome, messages}});
   }
-  // Proxies go back to these routes: no update since then has arrived.
-  void loseUpdatesSince(const std::map<TableId, SimulatedSupervisor::RouteTable>& routes) {
+  // Resets the proxies to these routes, as if later updates had not been delivered.
+  void revertProxiesTo(const std::map<TableId, SimulatedSupervisor::RouteTable>& routes) {
     supervisor.routes = routes;
     supervisor.ejectedServers.clear();
     supervisor.routesToEjectedServers.clear();
@@ -82,21 +82,21 @@
   const std::vector<Action> first = supervisor.updateEndpoint("s_b", EndpointState::Draining);
   ASSERT_FALSE(describe(first).empty());
   EXPECT_TRUE(describe(supervisor.updateEndpoint("s_c", EndpointState::Draining)).empty());
-  EXPECT_TRUE(describe(handleLater({TimerFired{"sweep"}})).empty());
+  EXPECT_TRUE(describe(advanceAndHandle({TimerFired{"sweep"}})).empty());
   const int otherId = updateIdOf(first) - 1;
-  EXPECT_TRUE(describe(handleLater({UpdateDelivery{otherId, DeliveryOutcome::Accepted, 1}})).empty())
+  EXPECT_TRUE(describe(advanceAndHandle({UpdateDelivery{otherId, DeliveryOutcome::Accepted, 1}})).empty())
       << "outcome of another update";
   EXPECT_FALSE(describe(reportOutcome(first, DeliveryOutcome::Accepted)).empty())
-      << "at once, not at the next sweep";
+      << "the held decision is made at once, not at the next timer";
   EXPECT_EQ(supervisor.primaryCount("s_c"), 0);
 }
 
-TEST_F(UpdateDeliveryTest, UndeliveredRoutesGoAgainTogetherWithNewerOnes) {
+TEST_F(UpdateDeliveryTest, UndeliveredRoutesAreSentAgainTogetherWithNewerOnes) {
   start();
   const auto routesBefore = supervisor.routes;
   const std::vector<Action> first = supervisor.updateEndpoint("s_b", EndpointState::Draining);
   supervisor.updateEndpoint("s_c", EndpointState::Draining);
-  loseUpdatesSince(routesBefore);
+  revertProxiesTo(routesBefore);
   const std::vector<std::string> next = describe(reportOutcome(first, DeliveryOutcome::Incomplete));
   for (TableId slice = 0; slice < 8; ++slice) {
     const auto& table = supervisor.routes[slice];
@@ -111,14 +111,14 @@
 TEST_F(UpdateDeliveryTest, UndeliveredRoutesOfAReassignedSliceAreNotRepeated) {
   start();
   const std::vector<Action> first = supervisor.updateEndpoint("s_b", EndpointState::Draining);
-  handleLater({SliceAssignment{1, false}, SliceAssignment{1, true}, StoredRoute{1, "s_a", 1}});
+  advanceAndHandle({SliceAssignment{1, false}, SliceAssignment{1, true}, StoredRoute{1, "s_a", 1}});
   for (const std::string& entry : describe(reportOutcome(first, DeliveryOutcome::Incomplete)))
     EXPECT_TRUE(entry.compare(0, 2, "1 ") != 0 || entry.find("s_b") == std::string::npos) << entry;
 }
 
-// An undelivered update may be in the channel all the same: its repetition needs room beside it. The update
-// is a drain, because others wait for their turn.
-TEST_F(UpdateDeliveryTest, UpdateOfUnknownOutcomeCountsInTheChannelBesideItsRepetition) {
+// An update whose delivery is unknown may be in the channel, so capacity is needed for it and for its
+// repetition. The test uses a drain because less urgent updates would wait for other reasons.
+TEST_F(UpdateDeliveryTest, UpdateOfUnknownOutcomeCountsAsInFlightInAdditionToItsRepetition) {
   settings.pendingRoutesMax = 400;
   supervisor = SimulatedSupervisor(settings);
   start();
@@ -140,7 +140,7 @@
   EXPECT_GE(messages, 2);
 }
 
-TEST_F(UpdateDeliveryTest, UpdateThatMadeNoMessageTakesNoRoomInTheChannel) {
+TEST_F(UpdateDeliveryTest, UpdateWithoutMessagesUsesNoChannelCapacity) {
   start();
   std::vector<Action> update = supervisor.updateEndpoint("s_b", EndpointState::Draining);
   for (int attempt = 0; attempt < 100; ++attempt) {
@@ -149,8 +149,8 @@
   }
 }
 
-// The removal of the old owner must be in the store and acknowledged by all, also by proxies that connected
-// meanwhile.
+// The removal of the old owner must be delivered and then acknowledged by all proxies, including those that
+// connected in the meantime.
 TEST_F(UpdateDeliveryTest, SingleOwnerSliceGetsNoNewOwnerWhileTheRemovalOfTheOldOneIsUndelivered) {
   settings.sliceOwnership = SliceOwnership::SingleOwner;
   settings.inFlightWriteMax = 20 * kMillisecond;
@@ -159,23 +159,23 @@
   std::vector<Action> update = supervisor.updateEndpoint("s_b", EndpointState::Draining);
   const std::vector<std::string> removals = describe(update);
   ASSERT_GE(removals.size(), 2U);
-  handleLater(
+  advanceAndHandle(
       {ProxyConnected{0, 0, 5, false}, ProxyConnected{1, 1, 5, false}, ProxyConnected{2, 0, 5, false}});
   supervisor.now += 2 * kSecond;
   update = reportOutcome(update, DeliveryOutcome::Incomplete);
   EXPECT_EQ(describe(update), removals);
   const int updateId = updateIdOf(update);
-  EXPECT_TRUE(
-      describe(handleLater({UpdateDelivery{updateId, DeliveryOutcome::Accepted, 1}, TimerFired{"sweep"}}))
-          .empty());
+  EXPECT_TRUE(describe(advanceAndHandle(
+                           {UpdateDelivery{updateId, DeliveryOutcome::Accepted, 1}, TimerFired{"sweep"}}))
+                  .empty());
   std::vector<Event> acknowledgements;
   appendAcknowledgements(acknowledgements, updateId);
-  handleLater(acknowledgements);
+  advanceAndHandle(acknowledgements);
   supervisor.now += kSecond;
-  EXPECT_EQ(describe(handleLater({TimerFired{"sweep"}})).size(), removals.size()) << "the new owners";
+  EXPECT_EQ(describe(advanceAndHandle({TimerFired{"sweep"}})).size(), removals.size()) << "the new owners";
 }
 
-// ---- An update as large as the channel ----
+// ---- Updates that use most of the channel's capacity ----
 
 class LargeUpdateDelivery : public UpdateDeliveryTest {
  protected:
@@ -192,8 +192,8 @@
     supervisor.acknowledgesUpdates = false;
   }
 
-  bool isUpdateOpen() const { return updateIdOf(update) >= 0; }
-  // The open update is accepted, and proxies acknowledge it half a second later.
+  bool isOutcomeAwaited() const { return updateIdOf(update) >= 0; }
+  // Reports that the last update was accepted; proxies acknowledge it half a second later.
   void acceptUpdate() {
     const int updateId = updateIdOf(update);
     update = reportOutcome(update, DeliveryOutcome::Accepted);
@@ -202,38 +202,38 @@
     appendAcknowledgements(events, updateId);
     events.push_back(TimerFired{"sweep"});
     const std::vector<Action> next = supervisor.handle(events);
-    if (!isUpdateOpen()) update = next;
+    if (!isOutcomeAwaited()) update = next;
   }
-  // Half of the servers drain at once.
-  EndpointListUpdate releaseOfHalfTheFleet() {
-    EndpointListUpdate release{EndpointListKind::Delta, 0, {}};
+  // Sets half of the servers to draining. Returns the update of the endpoint list.
+  EndpointListUpdate drainHalfTheFleet() {
+    EndpointListUpdate draining{EndpointListKind::Delta, 0, {}};
     for (int index = 0; index < kServers / 2; ++index) {
       Endpoint& endpoint = supervisor.endpoints[SimulatedSupervisor::serverName(index)];
       endpoint.state = EndpointState::Draining;
-      release.endpoints.push_back(endpoint);
+      draining.endpoints.push_back(endpoint);
     }
-    return release;
+    return draining;
   }
 
-  // The last update, open until its outcome is reported.
+  // The actions of the last step. They form an update while its outcome is awaited.
   std::vector<Action> update;
 };
 
-// If it had to go again as a whole it would find no room until acknowledgements come, and the drains would be
-// late.
-TEST_F(LargeUpdateDelivery, UndeliveredUpdateGoesAgainInPartsAndDrainsStayWithinTheirGrace) {
+// Guards against repeating the update only as one message: the channel would have no capacity for it until
+// acknowledgements arrive, and the drain grace would expire.
+TEST_F(LargeUpdateDelivery, UndeliveredUpdateIsSentAgainInPartsAndDrainsStayWithinTheirGrace) {
   update = supervisor.handle(supervisor.startEvents(kSlices));
-  for (int step = 0; step < 40 && isUpdateOpen(); ++step) acceptUpdate();
-  const EndpointListUpdate release = releaseOfHalfTheFleet();
+  for (int step = 0; step < 40 && isOutcomeAwaited(); ++step) acceptUpdate();
+  const EndpointListUpdate draining = drainHalfTheFleet();
   supervisor.now += 2 * kSecond;
   const Micros drainStart = supervisor.now;
   const auto routesBefore = supervisor.routes;
-  update = supervisor.handle({release});
+  update = supervisor.handle({draining});
   ASSERT_GE(static_cast<double>(describe(update).size()), 0.5 * settings.pendingRoutesMax / kProxies);
-  loseUpdatesSince(routesBefore);
+  revertProxiesTo(routesBefore);
   update = reportOutcome(update, DeliveryOutcome::Incomplete);
   for (int step = 0; step < 40 && supervisor.now - drainStart < settings.drainGrace; ++step) {
-    if (isUpdateOpen()) {
+    if (isOutcomeAwaited()) {
       acceptUpdate();
       continue;
     }
@@ -247,7 +247,7 @@
   }
 }
 
-/// A channel that holds a part of what a drain of half of the servers needs.
+/// A channel whose capacity is too small for all routes of a drain of half of the servers.
 class MissedAcknowledgementsTest : public testing::Test {
  protected:
   static constexpr int kServers = 20;
@@ -270,9 +270,9 @@
     }
     supervisor.handle({update});
   }
-  /// Half of the servers drain in two steps while acknowledgements are lost, as with a watch that has fallen
-  /// silent. The first step fills the channel.
-  void drainInSilence() {
+  /// Half of the servers drain in two steps while acknowledgements are lost, as with a watch that delivers no
+  /// more events. The first step fills the channel.
+  void drainWithoutAcknowledgements() {
     supervisor.startAndRun(kSlices, 20 * kSecond);
     supervisor.acknowledgesUpdates = false;
     drain(0, kDraining / 2);
@@ -295,16 +295,17 @@
   SimulatedSupervisor supervisor{settings, kServers};
 };
 
-// Without the event the engine takes the channel for full until its slowest rate has emptied it.
-TEST_F(MissedAcknowledgementsTest, DrainIsFinishedWithinItsGraceAfterTheAcknowledgementsAreBack) {
-  drainInSilence();
-  ASSERT_GT(slicesOnDrainingServers(), 0) << "the channel holds all: the test shows nothing";
+// Without the event, the engine would treat the channel as full until the slowest rate has emptied it.
+TEST_F(MissedAcknowledgementsTest, DrainEndsWithinItsGraceOnceAcknowledgementsArriveAgain) {
+  drainWithoutAcknowledgements();
+  ASSERT_GT(slicesOnDrainingServers(), 0)
+      << "the channel has capacity for the complete drain, so the test has no effect";
   supervisor.handle({AcknowledgementsMissed{}});
   supervisor.run(settings.drainGrace);
   EXPECT_EQ(slicesOnDrainingServers(), 0);
 }
 
-TEST_F(MissedAcknowledgementsTest, NothingIsAskedForWhereNothingIsInFlight) {
+TEST_F(MissedAcknowledgementsTest, NoAcknowledgementRequestIsSentIfNothingIsInFlight) {
   supervisor.startAndRun(kSlices, 20 * kSecond);
   supervisor.run(20 * kSecond);
   const std::size_t updates = supervisor.updateTimes.size();
--- a/tests/decision/update_scheduling_test.cpp
+++ b/tests/decision/update_scheduling_test.cpp
@@ -1,5 +1,4 @@
-// Update scheduling: message limits, what goes first, and the limit of routes that wait in the update
-// channel.
+// Update scheduling: the message limit, priorities, and the limit of pending routes in the update channel.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,20 +11,20 @@
 namespace peargrade {
 namespace {
 
-// Whether an action takes room in the update channel.
+// Whether an action counts as a route in the update channel.
 bool isUpdateEntry(const Action& action) {
   return std::holds_alternative<SetRoute>(action) || std::holds_alternative<SetAdmission>(action) ||
          std::holds_alternative<SetEjection>(action);
 }
 
-// Room in the update channel that the message of these actions takes at each proxy, in routes; 0: no message.
+// Size of the message of these actions to one proxy, in routes, overhead included; 0 if there is no message.
 double messageSize(const std::vector<Action>& actions, const Settings& settings) {
   const auto entries = std::count_if(actions.begin(), actions.end(), isUpdateEntry);
   return entries > 0 ? settings.messageOverheadRoutes + 1 + static_cast<double>(entries) : 0;
 }
 
-// An update in which servers 0 to `serverCount` - 1 drain.
-EndpointListUpdate drainOf(const SimulatedSupervisor& supervisor, int serverCount) {
+// An update of the endpoint list in which servers 0 to `serverCount` - 1 are draining.
+EndpointListUpdate drainingUpdate(const SimulatedSupervisor& supervisor, int serverCount) {
   EndpointListUpdate update;
   update.kind = EndpointListKind::Delta;
   for (int server = 0; server < serverCount; ++server) {
@@ -37,7 +36,7 @@
 
 // ---- Message limit ----
 
-TEST(UpdateScheduling, RollingDeployKeepsTheMessageLimitOfEachProxy) {
+TEST(UpdateScheduling, RollingDeployStaysWithinTheMessageLimitOfEachProxy) {
   Settings settings = testSettings();
   settings.messagesPerProxyMax = 8;
   SimulatedSupervisor supervisor(settings, 12);
@@ -58,8 +57,8 @@
   }
 }
 
-// Each connecting proxy asks for the admission ratios again.
-TEST(UpdateScheduling, RoutineUpdatesLeaveMessagesForADrain) {
+// Each connection of a proxy makes the supervisor send the admission ratios again.
+TEST(UpdateScheduling, RoutineUpdatesLeaveMessageCapacityForADrain) {
   SimulatedSupervisor supervisor;
   supervisor.start(16);
   for (ProxyId proxy = 10; proxy < 50; ++proxy) {
@@ -73,10 +72,11 @@
 
 // ---- Priorities ----
 
-// Admission ratios and migrations never end under overload: readmission must not wait for them.
-TEST(UpdateScheduling, ReadmissionGoesBeforeAdmissionRatiosAndMigrations) {
+// Under overload there are always admission ratios and migrations to publish: readmission must not wait until
+// all of them are sent.
+TEST(UpdateScheduling, ReadmissionIsSentBeforeAdmissionRatiosAndMigrations) {
   Settings settings = testSettings();
-  settings.routesPerSecond = 60;  // some twenty a second to each of three proxies
+  settings.routesPerSecond = 60;  // 20 per second to each of three proxies
   settings.pendingRoutesMax = 120;
   settings.messagesPerProxyMax = 0;
   SimulatedSupervisor supervisor(settings, 12);
@@ -93,7 +93,7 @@
 
 // ---- Limit of pending routes ----
 
-TEST(UpdateScheduling, FullChannelHoldsUpdatesBack) {
+TEST(UpdateScheduling, FullChannelDelaysUpdates) {
   Settings settings = testSettings();
   settings.routesPerSecond = 20;
   settings.pendingRoutesMax = 60;
@@ -104,7 +104,7 @@
   supervisor.updateEndpoint("s_b", EndpointState::Draining);
   EXPECT_EQ(supervisor.updateTimes.size(), updates);
   supervisor.run(5 * kSecond);
-  EXPECT_EQ(supervisor.updateTimes.size(), updates) << "no acknowledgement says that it has emptied";
+  EXPECT_EQ(supervisor.updateTimes.size(), updates) << "no acknowledgement shows that the channel is empty";
   supervisor.acknowledgesUpdates = true;
   for (ProxyId proxy = 0; proxy < 3; ++proxy)
     supervisor.pendingEvents.push_back(UpdateAcknowledged{proxy, 1, kMillisecond});
@@ -112,9 +112,8 @@
   EXPECT_EQ(supervisor.primaryCount("s_b"), 0);
 }
 
-// The channel sends an update to all proxies that are connected, whether or not the supervisor knows of them
-// yet.
-TEST(UpdateScheduling, FirstUpdatesCountForProxiesThatAreNotKnownYet) {
+// The channel sends an update to all connected proxies, even if the supervisor has not read their events yet.
+TEST(UpdateScheduling, FirstUpdatesCountForProxiesThatTheSupervisorDoesNotKnowYet) {
   Settings settings = testSettings();
   settings.slices = 500;
   settings.proxies = 300;
@@ -124,7 +123,7 @@
   const auto handle = [&](const std::vector<Event>& events) {
     pendingRoutes += settings.proxies * messageSize(supervisor.handle(events), settings);
   };
-  handle(supervisor.startEvents(500));  // three proxies, and all slices without a backup
+  handle(supervisor.startEvents(500));  // three known proxies; every slice needs a backup route
   EXPECT_LE(pendingRoutes, settings.pendingRoutesMax);
 
   std::vector<Event> connections{TimerFired{"sweep"}};
@@ -133,11 +132,11 @@
   supervisor.now += 10 * kMillisecond;
   handle(connections);
   supervisor.now += 10 * kMillisecond;
-  handle({drainOf(supervisor, 15)});
+  handle({drainingUpdate(supervisor, 15)});
   EXPECT_LE(pendingRoutes, settings.pendingRoutesMax);
 }
 
-// The largest fleet, and a channel that is slower than stated by the parameter's factor.
+// A large fleet. The parameter is the factor by which the channel is slower than the settings state.
 class UpdateSchedulingAtFullSize : public testing::TestWithParam<double> {
  protected:
   static constexpr int kProxies = 300;
@@ -159,7 +158,7 @@
     std::vector<Event> events = supervisor.startEvents(kSlices);
     for (ProxyId proxy = 3; proxy < kProxies; ++proxy)
       events.push_back(ProxyConnected{proxy, proxy % 2, 5, true});
-    supervisor.acknowledgesUpdates = false;  // the channel of this fixture does
+    supervisor.acknowledgesUpdates = false;  // this fixture sends the acknowledgements
     handle(std::move(events));
   }
   void handle(std::vector<Event> events) {
@@ -179,46 +178,46 @@
 
   const Settings settings = fullSizeSettings();
   SimulatedSupervisor supervisor{settings, kServers};
-  double mostPendingRoutes = 0;
+  double maxPendingRoutes = 0;
 
  private:
   double channelRate() const { return settings.routesPerSecond / GetParam(); }
 
   void drainChannel() {
-    const Micros elapsed = supervisor.now - lastDrained_;
+    const Micros elapsed = supervisor.now - lastDrainedAt_;
     pendingRoutes_ = std::max(0.0, pendingRoutes_ - channelRate() * static_cast<double>(elapsed) / kSecond);
-    lastDrained_ = supervisor.now;
+    lastDrainedAt_ = supervisor.now;
   }
   void appendAcknowledgements(std::vector<Event>& events) {
-    while (!arrivals_.empty() && arrivals_.begin()->first <= supervisor.now) {
+    while (!acknowledgementTimes_.empty() && acknowledgementTimes_.begin()->first <= supervisor.now) {
       for (ProxyId proxy = 0; proxy < kProxies; ++proxy)
-        events.push_back(UpdateAcknowledged{proxy, arrivals_.begin()->second, kMillisecond});
-      arrivals_.erase(arrivals_.begin());
+        events.push_back(UpdateAcknowledged{proxy, acknowledgementTimes_.begin()->second, kMillisecond});
+      acknowledgementTimes_.erase(acknowledgementTimes_.begin());
     }
   }
   void enqueue(const std::vector<Action>& actions) {
     pendingRoutes_ += kProxies * messageSize(actions, settings);
-    mostPendingRoutes = std::max(mostPendingRoutes, pendingRoutes_);
+    maxPendingRoutes = std::max(maxPendingRoutes, pendingRoutes_);
     const auto transmission = static_cast<Micros>(pendingRoutes_ / channelRate() * kSecond);
     for (const Action& action : actions) {
       const auto* request = std::get_if<AcknowledgementRequest>(&action);
       if (request != nullptr)
-        arrivals_[supervisor.now + settings.pushDelay + transmission] = request->updateId;
+        acknowledgementTimes_[supervisor.now + settings.pushDelay + transmission] = request->updateId;
     }
   }
 
   double pendingRoutes_ = 0;
-  Micros lastDrained_ = supervisor.now;
-  // Update ids by the time at which all proxies have applied the update.
-  std::map<Micros, int> arrivals_;
+  Micros lastDrainedAt_ = supervisor.now;
+  // Update ids by the time at which all proxies acknowledge the update.
+  std::map<Micros, int> acknowledgementTimes_;
 };
 
 TEST_P(UpdateSchedulingAtFullSize, PendingRoutesStayWithinTheirLimitAndDrainsWithinTheirGrace) {
   constexpr int kDrainingServers = 90;
   start();
   run(10 * kSecond);
-  handle({drainOf(supervisor, kDrainingServers)});
-  run(static_cast<Micros>(2 * kSecond * GetParam()));  // the grace grows as the channel slows down
+  handle({drainingUpdate(supervisor, kDrainingServers)});
+  run(static_cast<Micros>(2 * kSecond * GetParam()));  // longer where the channel is slower
   for (TableId slice = 0; slice < kSlices; ++slice) {
     EXPECT_FALSE(supervisor.routes[slice].empty()) << "slice " << slice;
     for (int server = 0; server < kDrainingServers; ++server) {
@@ -228,8 +227,8 @@
   }
   supervisor.setLatencies(kServers, 1500 * kMillisecond);
   run(15 * kSecond);
-  EXPECT_LE(mostPendingRoutes, settings.pendingRoutesMax);
-  EXPECT_LT(supervisor.admissionRatio(kAllTables, 0), 0.9) << "one ratio for all slices";
+  EXPECT_LE(maxPendingRoutes, settings.pendingRoutesMax);
+  EXPECT_LT(supervisor.admissionRatio(kAllTables, 0), 0.9) << "ratio that applies to all slices";
 }
 
 INSTANTIATE_TEST_SUITE_P(SlowdownFactors, UpdateSchedulingAtFullSize, testing::Values(1.0, 2.0, 4.0, 6.0),
