--- a/src/decision/endpoint_list.h
+++ b/src/decision/endpoint_list.h
@@ -9,8 +9,8 @@
 
 namespace peargrade::decision {
 
-/// Subscribes to the endpoint list, again after failures, where the list is only sent on request. Applies the
-/// list's updates to the server records.
+/// Applies updates of the endpoint list to the server records. Where the list is only sent on request
+/// (Settings::endpointsOnRequest), subscribes to it, and subscribes again after a failure.
 class EndpointList {
  public:
   EndpointList(const Settings& settings, const Clock& clock, Random& random)
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -12,7 +12,7 @@
 constexpr double kColdCacheFactor = 0.85;
 /// The same while the fleet is overloaded.
 constexpr double kColdCacheFactorInOverload = 0.7;
-/// Factor on the warm-up fraction of a relaxed warming server, as a share of Settings::overloadFactor.
+/// For a relaxed warming server, the factor is Settings::overloadFactor times this, if that is larger.
 constexpr double kRelaxedOverloadShare = 0.5;
 /// Share of a warming server's overload limit up to which slices are placed on it.
 constexpr double kPlacementShareOfOverload = 0.67;
--- a/src/decision/update_channel.cpp
+++ b/src/decision/update_channel.cpp
@@ -50,8 +50,8 @@
   return true;
 }
 
-// All updates that are entirely before the acknowledged one in the queue were transmitted to all proxies. The
-// position up to which this holds is the start of the first update that may not be before it.
+// All updates that are entirely before the acknowledged one in the queue were transmitted to all proxies. In
+// the stream, that is everything before the first update that may be queued later.
 void UpdateChannel::markTransmitted(const Update& acknowledged) {
   double transmitted = acknowledged.firstRoute;
   for (const auto& [id, other] : updates_) {
--- a/src/decision/update_scheduler.h
+++ b/src/decision/update_scheduler.h
@@ -23,9 +23,8 @@
 
 /// Sends the differences between the desired and the published state. Each update is filled by priority, the
 /// hottest slices first, until the channel has no more capacity. The rest is not queued: the next decision
-/// compares desired and published state again. An update whose delivery is unknown is not sent again as it
-/// was: its actions are marked as uncertain, and later decisions publish the then desired state in their
-/// place.
+/// compares desired and published state again. An update whose delivery is unknown is not repeated unchanged:
+/// its actions are marked as uncertain, so that later decisions publish the state desired by then.
 class UpdateScheduler {
  public:
   /// Components that the scheduler reads.
