--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -49,7 +49,7 @@
   notifyIfReady();
 }
 
-// The sink is cleared before the call, so that it is called once.
+// The sink is cleared before the call, so that it is called only once.
 void Dispatcher::notifyIfReady() {
   if (!ready() || !readySink_) return;
   const std::function<void()> sink = std::exchange(readySink_, nullptr);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,4 +1,5 @@
-// Events and actions on their way between the protocols and the decision engine, without protocol or socket.
+// Passes events from the protocol packages to the decision engine, and the engine's actions back to them.
+// Knows no protocol and does no I/O.
 #pragma once
 
 #include <functional>
@@ -10,44 +11,47 @@
 
 namespace peargrade::dispatch {
 
-/// The only place where the client side, the server side and the engine meet. One for each supervisor, used
-/// on one thread.
+/// The only connection between the client side (collectors, discovery), the server side (relay) and the
+/// engine. Each supervisor has one. Not thread-safe: used on the thread of the event loop only.
 class Dispatcher {
  public:
-  /// The actions of one update of the proxies in their order: SetRoute to AcknowledgementRequest.
+  /// One update of the proxies' routing tables: actions of the types SetRoute, ClearTable, SetEjection,
+  /// SetAdmission and AcknowledgementRequest, in the order in which the engine returned them.
   using TableUpdate = std::vector<Action>;
   enum class EndpointListRequest { Watch, Unwatch, Poll };
 
   // ---- Events for the engine ----
 
-  /// Queues an event for the next batch. Called by every package that speaks a protocol.
+  /// Queues an event for the next batch.
   void post(Event event) { events_.push_back(std::move(event)); }
   bool hasEvents() const { return !events_.empty(); }
-  /// Takes the queued events, in the order they were posted.
+  /// Removes the queued events and returns them in the order they were posted.
   std::vector<Event> take() { return std::exchange(events_, {}); }
 
   // ---- Actions of the engine ----
 
-  /// Receives each table update; nullptr: none does, and updates are dropped. Set by the relay client.
+  /// Sets the receiver of table updates. Without one (nullptr) updates are dropped. Set by the relay client.
   void onTableUpdate(std::function<void(const TableUpdate&)> sink) { tableUpdateSink_ = std::move(sink); }
-  /// Receives each request for the endpoint list; nullptr: none does. Set by discovery or the sources.
+  /// Sets the receiver of requests for the endpoint list. Without one (nullptr) requests are dropped. Set by
+  /// discovery or the sources.
   void onEndpointListRequest(std::function<void(EndpointListRequest)> sink) {
     endpointListSink_ = std::move(sink);
   }
-  /// Passes the actions of one batch to their sinks: requests for the endpoint list as they come, then all
-  /// table actions as one update. Returns those without a sink, in their order.
+  /// Passes the actions of one batch to their receivers: each request for the endpoint list in turn, then all
+  /// table actions as one update. Returns the actions of all other types, in their order.
   std::vector<Action> dispatch(const std::vector<Action>& actions);
 
-  // ---- Readiness: whether the supervisor can act ----
+  // ---- Readiness: the relay is connected and the endpoint list is known ----
 
-  /// The watch of the relay is open.
+  /// Reports that the watch of the relay is open.
   void relayConnected();
-  /// The endpoint list has been received.
+  /// Reports that the endpoint list has been received.
   void endpointListKnown();
-  /// Neither is waited for any longer: an unavailable peer must not hold up readiness.
+  /// Makes the supervisor ready without either of them, so that an unavailable peer does not delay readiness
+  /// indefinitely.
   void readinessTimedOut();
   bool ready() const { return relayConnected_ && endpointListKnown_; }
-  /// Called once, when the supervisor becomes ready.
+  /// Sets the function that is called once, when the supervisor becomes ready.
   void onReady(std::function<void()> sink) { readySink_ = std::move(sink); }
 
  private:
--- a/src/supervisor/clock.h
+++ b/src/supervisor/clock.h
@@ -1,4 +1,4 @@
-// The clock of a supervisor.
+// The clock that gives the decision engine its time.
 #pragma once
 
 #include <chrono>
@@ -7,8 +7,9 @@
 
 namespace peargrade::supervisor {
 
-/// Unix time in microseconds that never jumps: read once at the start and advanced by the steady clock. It
-/// compares with the start times of the endpoint list, which are Unix time.
+/// Monotonic Unix time in microseconds. The system time is read once at construction and advanced by the
+/// steady clock, so that an adjustment of the system clock causes no jump. Unix time is needed for the
+/// comparison with the start times in the endpoint list.
 class Clock {
  public:
   Micros now() const {
--- a/src/supervisor/config_reload.cpp
+++ b/src/supervisor/config_reload.cpp
@@ -10,23 +10,23 @@
 namespace peargrade::supervisor {
 namespace {
 
-/// As one line of the log.
-std::string oneLine(std::string text) {
+/// Joins the lines of a text with semicolons, because a log message is a single line.
+std::string joinLines(std::string text) {
   std::replace(text.begin(), text.end(), '\n', ';');
   return text;
 }
 
 }  // namespace
 
-ConfigReload::ConfigReload(event_base* base, config::Config inForce, Callbacks callbacks, log::Log& log,
+ConfigReload::ConfigReload(event_base* base, config::Config activeConfig, Callbacks callbacks, log::Log& log,
                            ReloadScope scope)
-    : inForce_(std::move(inForce)),
+    : activeConfig_(std::move(activeConfig)),
       callbacks_(std::move(callbacks)),
       log_(log),
       scope_(scope),
       retryTimer_(base, [this] { attempt(); }) {
   if (includesSettings())
-    log_.info("supervisor") << "configuration in force: " << config::describeVersion(inForce_);
+    log_.info("supervisor") << "configuration in force: " << config::describeVersion(activeConfig_);
 }
 
 void ConfigReload::request() {
@@ -41,7 +41,7 @@
   try {
     next = callbacks_.load();
   } catch (const ParseError& error) {
-    return onUnreadable(oneLine(error.what()));
+    return onUnreadable(joinLines(error.what()));
   }
   onLoaded(*next);
 }
@@ -55,7 +55,7 @@
   if (state_ == State::FirstAttempt) logUnreadable(problem);
   if (retryDelay_ > kRetryDelayMax) {
     state_ = State::Idle;
-    log_.warn("supervisor") << "giving up on the new configuration";
+    log_.warn("supervisor") << "giving up on the new configuration: still unreadable after the last retry";
     return;
   }
   state_ = State::RetryPending;
@@ -70,16 +70,16 @@
   }
   log_.error("supervisor") << "new configuration rejected ("
                            << config::codeOf(config::RejectionCode::Unreadable) << "), keeping "
-                           << config::describeVersion(inForce_) << ": " << problem;
+                           << config::describeVersion(activeConfig_) << ": " << problem;
 }
 
 bool ConfigReload::rejects(const config::Config& next) {
   if (!includesSettings()) return false;
-  const auto objection = config::checkReload(inForce_, next);
-  if (!objection) return false;
-  log_.error("supervisor") << "new configuration rejected (" << config::codeOf(objection->code)
-                           << "), keeping " << config::describeVersion(inForce_) << ": "
-                           << oneLine(objection->message);
+  const auto rejection = config::checkReload(activeConfig_, next);
+  if (!rejection) return false;
+  log_.error("supervisor") << "new configuration rejected (" << config::codeOf(rejection->code)
+                           << "), keeping " << config::describeVersion(activeConfig_) << ": "
+                           << joinLines(rejection->message);
   return true;
 }
 
@@ -87,21 +87,21 @@
   warnOfRestartFields(next);
   log_.info("supervisor") << "configuration read: discovery " << next.discovery.text() << ", relay "
                           << next.relay.text();
-  inForce_.discovery = next.discovery;
-  inForce_.relay = next.relay;
+  activeConfig_.discovery = next.discovery;
+  activeConfig_.relay = next.relay;
   if (includesSettings()) {
     log_.info("supervisor") << "configuration in force: " << config::describeVersion(next) << ", after "
-                            << config::describeVersion(inForce_);
-    inForce_.settings = next.settings;
-    inForce_.settingsText = next.settingsText;
-    inForce_.version = next.version;
-    inForce_.contentHash = next.contentHash;
+                            << config::describeVersion(activeConfig_);
+    activeConfig_.settings = next.settings;
+    activeConfig_.settingsText = next.settingsText;
+    activeConfig_.version = next.version;
+    activeConfig_.contentHash = next.contentHash;
   }
-  callbacks_.apply(inForce_);
+  callbacks_.apply(activeConfig_);
 }
 
 void ConfigReload::warnOfRestartFields(const config::Config& next) {
-  for (const std::string& field : config::fieldsNeedingRestart(inForce_, next)) {
+  for (const std::string& field : config::fieldsNeedingRestart(activeConfig_, next)) {
     if (includesSettings() && field == "settings") continue;
     log_.warn("supervisor") << "new configuration: '" << field << "' takes effect at a restart only";
   }
--- a/src/supervisor/config_reload.h
+++ b/src/supervisor/config_reload.h
@@ -1,4 +1,4 @@
-// Takes over a new configuration while the supervisor runs, as SIGHUP asks.
+// Reloads the configuration of a running supervisor on SIGHUP.
 #pragma once
 
 #include <functional>
@@ -11,49 +11,52 @@
 
 namespace peargrade::supervisor {
 
-/// What of a new configuration a running supervisor takes over; the rest needs a restart.
+/// Which fields of a new configuration a reload applies; changes of all others need a restart.
 enum class ReloadScope { Addresses, AddressesAndSettings };
 
-/// A file is taken over as a whole, as far as the scope goes, or not at all: whatever is wrong with it, the
-/// configuration in force stays. A file that cannot be read may be half written, so it is read again, with
-/// backoff, a few times.
+/// Applies all fields of a new configuration file that are in scope, or none of them: if the file is invalid,
+/// the active configuration stays. A file that cannot be read or parsed may be half written, so it is
+/// read again a few times with backoff.
 class ConfigReload {
  public:
   struct Callbacks {
-    /// Reads the configuration anew. May throw ParseError.
+    /// Reads the configuration file. May throw ParseError.
     std::function<config::Config()> load;
-    /// Takes over the configuration that is in force from now on. Called once for each accepted file.
+    /// Applies the new active configuration. Called once for each accepted file.
     std::function<void(const config::Config&)> apply;
   };
 
-  /// `inForce`: the configuration of the start.
-  ConfigReload(event_base* base, config::Config inForce, Callbacks callbacks, log::Log& log,
+  /// `activeConfig` is the configuration that the supervisor was started with. `log` must outlive this
+  /// object.
+  ConfigReload(event_base* base, config::Config activeConfig, Callbacks callbacks, log::Log& log,
                ReloadScope scope = ReloadScope::Addresses);
 
-  /// SIGHUP has come: reads the file as it is now. Replaces a reload that is under way.
+  /// Starts a reload: reads the file at once. Replaces a reload that waits for a retry.
   void request();
 
  private:
+  /// Progress of a reload. Transitions:
   /// Idle -> FirstAttempt (request) -> Idle (accepted or rejected) or RetryPending (unreadable);
   /// RetryPending -> Idle (accepted, rejected or given up) or RetryPending (unreadable);
   /// any -> FirstAttempt (request).
   enum class State { Idle, FirstAttempt, RetryPending };
 
+  /// Delay before the first retry, in microseconds; it doubles with each retry.
   static constexpr Micros kRetryDelayMin = 50000;
-  /// The delay doubles up to this: five retries, 1.55 s in all.
+  /// Longest delay before a retry, in microseconds. Allows five retries within 1.55 s.
   static constexpr Micros kRetryDelayMax = 800000;
 
   void attempt();
   void onUnreadable(const std::string& problem);
   void onLoaded(const config::Config& next);
-  /// Whether `next` may not be taken over; logs why.
+  /// Checks `next` against the active configuration. Logs the reason and returns true if it is rejected.
   bool rejects(const config::Config& next);
   void accept(const config::Config& next);
   void warnOfRestartFields(const config::Config& next);
   void logUnreadable(const std::string& problem);
   bool includesSettings() const { return scope_ == ReloadScope::AddressesAndSettings; }
 
-  config::Config inForce_;
+  config::Config activeConfig_;
   const Callbacks callbacks_;
   log::Log& log_;
   const ReloadScope scope_;
--- a/src/supervisor/engine_runner.cpp
+++ b/src/supervisor/engine_runner.cpp
@@ -21,7 +21,7 @@
     else if (const auto* message = std::get_if<Log>(&action))
       log_.info("module") << message->text;
     else
-      log_.warn("supervisor") << "ignoring an action that this protocol cannot carry";
+      log_.warn("supervisor") << "ignoring an action of the engine that no protocol supports";
   }
 }
 
@@ -34,7 +34,8 @@
 
 void EngineRunner::setTimer(Micros now, const SetTimer& timer) {
   if (timers_.set(now + timer.delay, timer.token) == TimerQueue::SetResult::QueueFull)
-    log_.warn("supervisor") << "too many timers";
+    log_.warn("supervisor") << "timer discarded: the limit of " << TimerQueue::kCapacity
+                            << " timers is reached";
 }
 
 }  // namespace peargrade::supervisor
--- a/src/supervisor/engine_runner.h
+++ b/src/supervisor/engine_runner.h
@@ -1,4 +1,4 @@
-// Runs the decision engine: events and due timers in, actions out. It decides nothing.
+// Runs the decision engine: passes events and due timers to it and carries out its actions.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,19 @@
 
 namespace peargrade::supervisor {
 
-/// Owns the engine and its timers. Each turn of the loop gives the engine one batch: the events of one turn
-/// belong together, such as a slice and its routes.
+/// Owns the engine and its timers. The engine gets all events of one loop iteration as one batch, because
+/// events that belong together, such as a slice and its routes, must be handled together.
 class EngineRunner {
  public:
   EngineRunner(std::uint64_t seed, const Settings& settings, dispatch::Dispatcher& dispatcher, log::Log& log);
 
-  /// Gives the engine the due timers, then the events that were posted, and carries out its actions. Does
-  /// nothing where there is neither.
+  /// Runs the engine on one batch, the due timers followed by the posted events, and carries out its actions.
+  /// Does nothing if the batch is empty.
   void turn(Micros now);
-  /// When the next timer is due; nothing: none is set.
+  /// When the next timer is due; nullopt if none is set.
   std::optional<Micros> nextTimer() const { return timers_.nextDue(); }
-  /// Calls `observer` with each event just before the engine gets the batch; for measurements.
+  /// Sets a function that is called with each event just before the engine handles its batch; for
+  /// measurements.
   void onEvent(std::function<void(const Event&)> observer) { observer_ = std::move(observer); }
 
  private:
--- a/src/supervisor/memory_budget.h
+++ b/src/supervisor/memory_budget.h
@@ -1,4 +1,4 @@
-// Divides the memory that the configuration grants among the buffers that peers can fill.
+// Divides the configured memory limit among the buffers whose size depends on peers.
 #pragma once
 
 #include <cstddef>
@@ -6,19 +6,20 @@
 
 namespace peargrade::supervisor {
 
-/// Together about a third of the memory granted.
+/// Size limits of the buffers. Together with the parsed endpoint list they use up to 5/16 of the memory
+/// limit.
 struct MemoryBudget {
-  /// Upper bound of the memory that a pending command takes, in bytes.
+  /// Upper bound of the memory for one pending command, in bytes.
   static constexpr std::size_t kCommandBytes = 512;
 
-  /// Unfinished messages of clients, in bytes.
+  /// Limit of all incomplete messages of clients together, in bytes.
   std::size_t clientMessages;
-  /// One answer of discovery, in bytes; parsed it takes as much again.
+  /// Limit of one response of discovery, in bytes. The parsed endpoint list takes the same amount again.
   std::size_t endpointList;
-  /// Number of commands pending for the relay.
+  /// Limit of the commands that are pending for the relay.
   std::size_t pendingCommands;
 
-  /// `memoryMb`: `limits.memory_mb` of the configuration, in MiB.
+  /// `memoryMb` is `limits.memory_mb` of the configuration, in MiB.
   explicit MemoryBudget(std::int64_t memoryMb) {
     const std::size_t total = static_cast<std::size_t>(memoryMb) << 20;
     clientMessages = total / 16;
--- a/src/supervisor/serve.cpp
+++ b/src/supervisor/serve.cpp
@@ -12,10 +12,11 @@
 namespace peargrade::supervisor {
 namespace {
 
-/// The process ends so long after SIGTERM at the latest; it may be killed after 0.7 s.
+/// Longest wait for the relay's replies after SIGTERM, in microseconds. The process may be killed 0.7 s after
+/// SIGTERM.
 constexpr Micros kShutdownTimeout = 250000;
 
-/// File descriptors that the system lets this process have.
+/// The limit of open file descriptors of this process.
 int descriptorLimit() {
   constexpr rlim_t kMax = std::numeric_limits<int>::max();
   rlimit limit{};
@@ -31,8 +32,8 @@
   }
 }
 
-/// Takes a last turn and waits, within a bound, until the relay has replied: decided updates must not be lost
-/// with the process.
+/// Runs a last turn and waits up to kShutdownTimeout for the relay's replies, so that updates the engine has
+/// decided on are not lost at the exit.
 void finishUpdates(event_base* base, SupervisorInstance& instance) {
   const Clock clock;
   const Micros deadline = clock.now() + kShutdownTimeout;
@@ -47,7 +48,7 @@
 void logCounts(const relay::UpdateCalls::Counts& counts, log::Log& log) {
   log.info("supervisor") << "stopping; relay calls " << counts.calls << " for " << counts.updates
                          << " updates, " << counts.undelivered << " undelivered, " << counts.confirmed
-                         << " confirmed by evidence, " << counts.commandsLost << " commands lost";
+                         << " confirmed later, " << counts.commandsLost << " commands lost";
 }
 
 }  // namespace
--- a/src/supervisor/serve.h
+++ b/src/supervisor/serve.h
@@ -1,4 +1,4 @@
-// One supervisor as a process, from its configuration to its exit: an instance, the loop and the signals.
+// Runs one supervisor as a process: creates the instance, the event loop and the signal handlers.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace peargrade::supervisor {
 
-/// Serves until SIGTERM or SIGINT and returns the exit code. The other parameters are those of
-/// SupervisorInstance. Throws std::runtime_error where the address cannot be listened on.
+/// Runs a supervisor until SIGTERM or SIGINT and returns the exit code of the process. For the parameters see
+/// SupervisorInstance. Throws std::runtime_error if it cannot listen on the configured address.
 int serve(const config::Config& config, const std::function<config::Config()>& loadConfig, log::Log& log,
           const op::Operator* op = nullptr, const MakeSources& makeSources = nullptr);
 
--- a/src/supervisor/signals.cpp
+++ b/src/supervisor/signals.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::array<int, 4> kSignals = {SIGTERM, SIGINT, SIGHUP, SIGUSR1};
 
-/// `how`: SIG_BLOCK or SIG_UNBLOCK.
+/// Blocks or unblocks all handled signals; `how` is SIG_BLOCK or SIG_UNBLOCK.
 void setMask(int how) {
   sigset_t signals;
   sigemptyset(&signals);
@@ -31,7 +31,8 @@
   setMask(SIG_UNBLOCK);
 }
 
-// libevent restores the default action, which would end the process during its own shutdown.
+// libevent restores the default action of each signal, which would terminate the process during its shutdown,
+// so the signals are blocked first.
 Signals::~Signals() { setMask(SIG_BLOCK); }
 
 void Signals::onSignal(evutil_socket_t number, short, void* self) {
--- a/src/supervisor/signals.h
+++ b/src/supervisor/signals.h
@@ -1,4 +1,4 @@
-// The signals of a supervisor process.
+// Signal handling of a supervisor process.
 #pragma once
 
 #include <array>
@@ -8,25 +8,27 @@
 
 namespace peargrade::supervisor {
 
-/// Handles SIGTERM, SIGINT, SIGHUP and SIGUSR1 in the loop. They are blocked from the first line of the
-/// program until they can be handled, and again from the last turn to the exit, so that none ends the process
-/// by its default action.
+/// Handles SIGTERM, SIGINT, SIGHUP and SIGUSR1 on the event loop. The signals are blocked from the start of
+/// the program until the handlers are installed, and again from their removal until the exit, so that the
+/// default action of a signal never terminates the process.
 class Signals {
  public:
-  /// Blocks the signals; those that come meanwhile are pending. Called at the start of the program.
+  /// Blocks the signals, so that they stay pending until the handlers are installed. Called at the start of
+  /// the program.
   static void block();
 
-  /// Handles pending signals and later ones, in the loop, until destroyed.
+  /// Installs the handlers and unblocks the signals, including pending ones. The handlers run on the event
+  /// loop until this object is destroyed.
   explicit Signals(event_base* base);
   ~Signals();
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
 
-  /// Whether SIGTERM or SIGINT has come.
+  /// Whether SIGTERM or SIGINT was received.
   bool stopping() const { return stopping_; }
-  /// Handles SIGHUP; without a handler it is ignored.
+  /// Sets the handler of SIGHUP; without one the signal is ignored.
   void onReload(std::function<void()> handler) { reload_ = std::move(handler); }
-  /// Handles SIGUSR1; without a handler it is ignored.
+  /// Sets the handler of SIGUSR1; without one the signal is ignored.
   void onExplain(std::function<void()> handler) { explain_ = std::move(handler); }
 
  private:
--- a/src/supervisor/supervisor_instance.cpp
+++ b/src/supervisor/supervisor_instance.cpp
@@ -10,29 +10,32 @@
 namespace peargrade::supervisor {
 namespace {
 
-/// Heartbeats are answered after so long, whatever peer is unavailable.
+/// Time in microseconds after which heartbeats are answered even if the relay or discovery is unavailable.
 constexpr Micros kReadinessTimeout = 1500000;
-/// File descriptors of the relay, discovery, loop and log, with some for connections that are ending.
-constexpr int kOwnDescriptors = 48;
-/// Connections of clients that are accepted, however few descriptors there are.
+/// File descriptors reserved for the relay, discovery, the event loop and the log, including a reserve for
+/// connections that are being closed.
+constexpr int kReservedDescriptors = 48;
+/// Minimum limit of client connections, regardless of the number of descriptors.
 constexpr int kConnectionsMin = 16;
 
-/// The settings that the engine gets: two of them depend on this program's protocols, whatever the file says.
+/// The settings with the two values that depend on this program's protocols and not on the configuration
+/// file.
 Settings effectiveSettings(Settings settings) {
-  settings.deliveryReported = true;    // src/relay reports each delivery
-  settings.endpointsOnRequest = true;  // discovery pushes only to those that watch
+  settings.deliveryReported = true;    // the relay client reports each delivery
+  settings.endpointsOnRequest = true;  // discovery pushes the list only to clients that watch it
   return settings;
 }
 
 ReloadScope reloadScope(const op::Operator* op) {
-  const bool settingsToo = op != nullptr && op->settingsReload;
-  return settingsToo ? ReloadScope::AddressesAndSettings : ReloadScope::Addresses;
+  const bool reloadsSettings = op != nullptr && op->settingsReload;
+  return reloadsSettings ? ReloadScope::AddressesAndSettings : ReloadScope::Addresses;
 }
 
-clients::ReportServer::Limits clientLimits(const config::Config& config, int descriptors) {
+clients::ReportServer::Limits clientLimits(const config::Config& config, int descriptorLimit) {
   clients::ReportServer::Limits limits;
-  const int granted = std::min(descriptors, config.limits.sockets);
-  limits.connections = static_cast<std::size_t>(std::max(kConnectionsMin, granted - kOwnDescriptors));
+  const int maxDescriptors = std::min(descriptorLimit, config.limits.sockets);
+  limits.connections =
+      static_cast<std::size_t>(std::max(kConnectionsMin, maxDescriptors - kReservedDescriptors));
   limits.incompleteMessageBytes = MemoryBudget(config.limits.memoryMb).clientMessages;
   return limits;
 }
@@ -54,13 +57,13 @@
 
 SupervisorInstance::SupervisorInstance(event_base* base, const config::Config& config,
                                        std::function<config::Config()> loadConfig, log::Log& log,
-                                       int descriptors, const op::Operator* op,
+                                       int descriptorLimit, const op::Operator* op,
                                        const MakeSources& makeSources)
     : config_(config),
       log_(log),
       engine_(config_.seed, effectiveSettings(config_.settings), dispatcher_, log),
       reportServer_(base, config_.listen, config_.names, config_.settings.slices, dispatcher_, log,
-                    clientLimits(config_, descriptors)),
+                    clientLimits(config_, descriptorLimit)),
       relay_(base, config_.relay, config_.names, config_.settings.slices, config_.seed, dispatcher_, log,
              relayLimits(config_)),
       configReload_(base, config_,
@@ -73,13 +76,14 @@
     discovery_.emplace(base, config_.discovery, config_.names, config_.cachedList.version, dispatcher_, log,
                        discoveryLimits(config_));
   if (makeSources) openSources(base, op, makeSources);
-  log_.info("supervisor") << config_.name << " serves at " << config_.listen.text() << ", "
-                          << config_.cachedList.endpoints.size() << " servers known";
+  log_.info("supervisor") << config_.name << " listens on " << config_.listen.text() << "; "
+                          << config_.cachedList.endpoints.size() << " servers in the cached endpoint list";
   readinessTimer_.schedule(kReadinessTimeout);
   dispatcher_.post(config_.cachedList);
 }
 
-// With sources the list of discovery goes to them, and they post the merged one.
+// With sources, discovery passes its endpoint list to them instead of the dispatcher, and they post the
+// merged list.
 void SupervisorInstance::openSources(event_base* base, const op::Operator* op,
                                      const MakeSources& makeSources) {
   sources_ = makeSources({base, op, &config_.names, &config_.cachedList, &config_.cachedAddresses,
@@ -106,7 +110,7 @@
     engine_.turn(now);
     scheduleNextTurn();
   } else if (turnTimerFired_) {
-    scheduleNextTurn();  // the loop's timer fired a little before the engine's is due
+    scheduleNextTurn();  // the event loop's timer fired slightly before the engine's timer is due
   }
 }
 
--- a/src/supervisor/supervisor_instance.h
+++ b/src/supervisor/supervisor_instance.h
@@ -1,4 +1,4 @@
-// One supervisor on a loop that the caller owns, without signals and without anything else of a process.
+// One supervisor on an event loop that the caller owns. Does not handle signals or other process-wide state.
 #pragma once
 
 #include <functional>
@@ -19,43 +19,43 @@
 
 namespace peargrade::supervisor {
 
-/// Creates the source registry of the sources that an operator's file names.
+/// Creates the registry of the sources that the operator's file configures.
 using MakeSources = std::function<std::unique_ptr<sources::SourceRegistry>(sources::Dependencies)>;
 
-/// Connects the engine with the packages that speak a protocol. `serve` runs one as a process; several may
-/// share a loop.
+/// Owns the engine, the connections to all peers and the dispatcher between them. serve() runs one instance
+/// as a process; several instances can share an event loop.
 class SupervisorInstance {
  public:
-  /// `loadConfig`: reads the configuration anew at reload(). `descriptors`: how many of the process's file
-  /// descriptors this supervisor may use; the configuration may grant fewer. `op`: the operator's file; none:
-  /// nullptr. `makeSources`: empty where discovery is the only source.
-  /// Throws std::runtime_error where the address cannot be listened on.
+  /// `loadConfig` reads the configuration again at reload(). `descriptorLimit` is the number of file
+  /// descriptors that this supervisor may use; the configuration can lower it. `op` is the operator's file,
+  /// or nullptr if there is none. `makeSources` is empty if discovery is the only source. `log` and `op` must
+  /// outlive this object. Throws std::runtime_error if it cannot listen on the configured address.
   SupervisorInstance(event_base* base, const config::Config& config,
-                     std::function<config::Config()> loadConfig, log::Log& log, int descriptors,
+                     std::function<config::Config()> loadConfig, log::Log& log, int descriptorLimit,
                      const op::Operator* op = nullptr, const MakeSources& makeSources = nullptr);
   SupervisorInstance(const SupervisorInstance&) = delete;
   SupervisorInstance& operator=(const SupervisorInstance&) = delete;
 
-  /// One turn of the loop: gives the engine what is due and what has come as one batch. Cheap where there is
-  /// nothing.
+  /// Runs the engine on the due timers and posted events, as one batch. To be called in each iteration of the
+  /// event loop; cheap if there are none.
   void turn();
-  /// Events are queued for the next turn: the loop should not wait.
+  /// Whether events are queued for the next turn, so that the event loop must not wait.
   bool hasEvents() const { return dispatcher_.hasEvents(); }
-  /// Reads the configuration and what the operator's file names anew, as SIGHUP asks.
+  /// Reloads the configuration and the files that the operator's file names. Called on SIGHUP.
   void reload();
-  /// Logs each server with its sources and the rule that decides, as SIGUSR1 asks.
+  /// Logs each server with its sources and the rule that determines its state. Called on SIGUSR1.
   void explain();
 
-  /// Where it listens; the system chooses the port if the configuration leaves it open.
+  /// The address listened on. If the configured port is 0, this holds the port that the system chose.
   const net::Address& address() const { return reportServer_.address(); }
   /// Whether heartbeats are answered.
   bool ready() const { return dispatcher_.ready(); }
-  /// A call to the relay awaits its reply, or commands are pending.
+  /// Whether a call to the relay is in flight, or commands are pending that can still be sent.
   bool busy() const { return relay_.busy(); }
   const relay::UpdateCalls::Counts& calls() const { return relay_.counts(); }
-  /// Connections of clients.
+  /// Number of open client connections.
   std::size_t connections() const { return reportServer_.connections(); }
-  /// Calls `observer` with each event before the engine gets it; for measurements.
+  /// Sets a function that is called with each event before the engine handles it; for measurements.
   void onEvent(std::function<void(const Event&)> observer) { engine_.onEvent(std::move(observer)); }
 
  private:
@@ -66,18 +66,18 @@
   const config::Config config_;
   log::Log& log_;
   const Clock clock_;
-  /// The turn timer has ended the wait of the loop since the last turn.
+  /// Whether `turnTimer_` has fired since it was last scheduled.
   bool turnTimerFired_ = false;
   dispatch::Dispatcher dispatcher_;
   EngineRunner engine_;
   clients::ReportServer reportServer_;
-  /// None where the operator's file excludes discovery.
+  /// Empty if the operator's file disables discovery.
   std::optional<discovery::Discovery> discovery_;
   std::unique_ptr<sources::SourceRegistry> sources_;
   relay::RelayClient relay_;
   ConfigReload configReload_;
   net::Timer readinessTimer_;
-  /// Ends the wait of the loop when the engine's next timer is due.
+  /// Wakes the event loop when the engine's next timer is due.
   net::Timer turnTimer_;
 };
 
--- a/src/supervisor/timer_queue.h
+++ b/src/supervisor/timer_queue.h
@@ -12,10 +12,11 @@
 
 namespace peargrade::supervisor {
 
-/// Timers by due time, and at the same time in the order they were set. Times are those of Clock.
+/// Priority queue of timers, ordered by due time and, for equal due times, by the order in which they were
+/// set. Times are in microseconds by Clock.
 class TimerQueue {
  public:
-  /// Timers that may be set at a time.
+  /// Limit of the number of queued timers.
   static constexpr std::size_t kCapacity = 100000;
 
   enum class SetResult { Set, QueueFull };
@@ -26,7 +27,7 @@
     return SetResult::Set;
   }
 
-  /// When the next timer is due; nothing: none is set.
+  /// When the next timer is due; nullopt if the queue is empty.
   std::optional<Micros> nextDue() const {
     if (queue_.empty()) return std::nullopt;
     return queue_.top().due;
@@ -47,7 +48,7 @@
     Micros due;
     std::uint64_t sequence;
     std::string token;
-    /// The largest is taken first: the earliest due.
+    /// Orders by descending due time, because std::priority_queue returns the largest element first.
     bool operator<(const Entry& other) const {
       return due != other.due ? due > other.due : sequence > other.sequence;
     }
--- a/tests/supervisor/clock_test.cpp
+++ b/tests/supervisor/clock_test.cpp
@@ -1,4 +1,4 @@
-// The clock of a supervisor.
+// Monotonic Unix time of a supervisor.
 #include "supervisor/clock.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace peargrade::supervisor {
 namespace {
 
-TEST(Clock, IsUnixTimeThatNeverGoesBack) {
+TEST(Clock, IsMonotonicUnixTime) {
   const Clock clock;
   const auto unixNow = std::chrono::duration_cast<std::chrono::microseconds>(
                            std::chrono::system_clock::now().time_since_epoch())
--- a/tests/supervisor/config_reload_test.cpp
+++ b/tests/supervisor/config_reload_test.cpp
@@ -1,5 +1,5 @@
-// A new configuration at SIGHUP: what is taken over, as a whole, and what is rejected and why. The file is a
-// text in the test; no signal and no socket.
+// Reload of the configuration: which fields are applied, which files are rejected and for what reason. The
+// file is a string; no signals or sockets are used.
 #include "supervisor/config_reload.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
 namespace peargrade::supervisor {
 namespace {
 
-constexpr Micros kSecondMicros = 1000000;
+constexpr Micros kMicrosPerSecond = 1000000;
 
-// A configuration file with the fields that tests change.
+// The text of a configuration file, with the fields that tests change.
 struct File {
-  std::string version = "7";  // "": the field is left out
+  std::string version = "7";  // empty: the file has no version
   std::string relay = "127.2.0.2:6400";
   std::string zones = R"(["a","b"])";
   std::string kinds = R"(["m1"])";
@@ -80,13 +80,13 @@
   EXPECT_FALSE(fixture.log.has("rejected"));
 }
 
-TEST(ConfigReload, AddressesAndSettingsAreTakenOverTogetherAndTheVersionIsLogged) {
+TEST(ConfigReload, AddressesAndSettingsAreAppliedTogetherAndTheVersionIsLogged) {
   ReloadFixture fixture;
   EXPECT_TRUE(fixture.log.has("configuration in force: version 7 (content ")) << "at the start";
   File next = File::withDrainGrace(8, 9);
   next.relay = "127.2.0.9:1";
   fixture.requestReload(next.text());
-  ASSERT_EQ(fixture.applied.size(), 1u) << "once, with both";
+  ASSERT_EQ(fixture.applied.size(), 1u) << "both are applied by one call";
   EXPECT_EQ(fixture.applied[0].relay.text(), "127.2.0.9:1");
   EXPECT_EQ(fixture.drainGrace(), 9000000);
   EXPECT_TRUE(fixture.log.has("configuration in force: version 8 (content ")) << fixture.log.text;
@@ -104,14 +104,14 @@
   fixture.requestReload(next.text());
   EXPECT_EQ(fixture.drainGrace(), 9000000);
   fixture.requestReload(File::withDrainGrace(1, 10).text());
-  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a first version is accepted";
+  EXPECT_EQ(fixture.drainGrace(), 10000000) << "the first file with a version is accepted";
   fixture.requestReload(next.text());
   EXPECT_TRUE(fixture.log.has("rejected (wrong-version), keeping version 1 (content ")) << fixture.log.text;
-  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a file without a version may be of any age";
+  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a file without a version may be older than the active one";
 }
 
-// The file is read while it is written: the old one stays, and the complete one is taken over without another
-// signal.
+// The file is read while it is being written: the active configuration stays, and the complete file is
+// applied without another signal.
 TEST(ConfigReload, HalfWrittenFileIsRejectedAndReadAgainUntilComplete) {
   ReloadFixture fixture;
   const std::string complete = File::withDrainGrace(8, 9).text();
@@ -126,13 +126,15 @@
   EXPECT_EQ(fixture.drainGrace(), 9000000);
 }
 
-TEST(ConfigReload, FileThatStaysUnreadableIsGivenUpAndTheLastGoodOneStays) {
+TEST(ConfigReload, RetriesOfAnUnreadableFileEndAndTheActiveConfigurationStays) {
   ReloadFixture fixture;
   fixture.requestReload("{");
-  ASSERT_TRUE(fixture.loop.until([&] { return fixture.log.has("giving up on the new configuration"); }));
+  ASSERT_TRUE(fixture.loop.until([&] {
+    return fixture.log.has("giving up on the new configuration: still unreadable after the last retry");
+  }));
   EXPECT_TRUE(fixture.applied.empty());
   fixture.requestReload(File::withDrainGrace(8, 9).text());
-  EXPECT_EQ(fixture.drainGrace(), 9000000) << "the next one is read as usual";
+  EXPECT_EQ(fixture.drainGrace(), 9000000) << "a later file is applied as usual";
 }
 
 struct RejectedFile {
@@ -154,27 +156,28 @@
   File classes = withRules("");
   classes.classes = R"({"name":"order","aimUs":900000,"effect":"once"},{"name":"lookup","aimUs":800000,)"
                     R"("effect":"repeatable"})";
-  File fewer = classes;
-  fewer.classes = R"({"name":"order","aimUs":900000,"effect":"once"})";
+  File fewerClasses = classes;
+  fewerClasses.classes = R"({"name":"order","aimUs":900000,"effect":"once"})";
   File names = withRules("");
   names.zones = R"(["b","a"])";
   names.kinds = R"(["m2"])";
-  File late = withRules("");
-  late.classes = R"({"name":"lookup","aimUs":800000,"hardLimitUs":1,"effect":"repeatable","worth":-1},)"
-                 R"({"name":"order","aimUs":900000,"effect":"once"})";
-  File stale = withRules("");
-  stale.version = "6";
-  File same = withRules("");
-  same.version = "7";
-  File none = withRules("");
-  none.version.clear();
-  File word = withRules("");
-  word.version = "\"8\"";
-  File below = withRules("");
-  below.version = "-1";
+  File invalidClasses = withRules("");
+  invalidClasses.classes =
+      R"({"name":"lookup","aimUs":800000,"hardLimitUs":1,"effect":"repeatable","worth":-1},)"
+      R"({"name":"order","aimUs":900000,"effect":"once"})";
+  File staleVersion = withRules("");
+  staleVersion.version = "6";
+  File sameVersion = withRules("");
+  sameVersion.version = "7";
+  File noVersion = withRules("");
+  noVersion.version.clear();
+  File textVersion = withRules("");
+  textVersion.version = "\"8\"";
+  File negativeVersion = withRules("");
+  negativeVersion.version = "-1";
   return {
       {"ClassesInAnotherOrder", classes, "structure", {"settings.classes: stays"}},
-      {"FewerClasses", fewer, "structure", {"settings.classes: stays"}},
+      {"FewerClasses", fewerClasses, "structure", {"settings.classes: stays"}},
       {"ZonesAndKinds", names, "structure", {"settings.zones: stays", "settings.kinds: stays"}},
       {"SlicesProxiesOwnershipAndUnit",
        withRules("", R"("shards":13,"proxyCount":6,"oneOwner":true,"throttleBy":"per_second")"),
@@ -188,27 +191,27 @@
        {"settings.rules.startCapacity: 1.5 is not from 0 to 1", "settings.rules.overloadFactor: 0 is not",
         "settings.extra.egressPerS: 0 is not above 0", "settings.extra.pendingMax: -1",
         "settings.extra.perMessage: -1 is not 0 or more", "settings.extra.tryAims: -1"}},
-      {"Classes", late, "out-of-range", {"'worth' of lookup", "'hardLimitUs' of lookup"}},
-      {"StaleVersion", stale, "stale-version", {"version: 6 is older than 7"}},
-      {"SameVersionOtherContent", same, "same-version", {"version: 7 is in force with other content"}},
-      {"NoVersion", none, "wrong-version", {"version: is missing, and 7 is in force"}},
-      {"VersionAsText", word, "wrong-version", {"version: is no whole number"}},
-      {"NegativeVersion", below, "wrong-version", {"version: is no whole number"}},
+      {"Classes", invalidClasses, "out-of-range", {"'worth' of lookup", "'hardLimitUs' of lookup"}},
+      {"StaleVersion", staleVersion, "stale-version", {"version: 6 is older than 7"}},
+      {"SameVersionOtherContent", sameVersion, "same-version", {"version: 7 is in force with other content"}},
+      {"NoVersion", noVersion, "wrong-version", {"version: is missing, and 7 is in force"}},
+      {"VersionAsText", textVersion, "wrong-version", {"version: is no whole number"}},
+      {"NegativeVersion", negativeVersion, "wrong-version", {"version: is no whole number"}},
   };
 }
 
 class RejectedConfig : public testing::TestWithParam<RejectedFile> {};
 
-TEST_P(RejectedConfig, IsRejectedAsAWholeWithItsReasonAndEachField) {
+TEST_P(RejectedConfig, NoFieldIsAppliedAndTheLogNamesTheReasonAndEachInvalidField) {
   ReloadFixture fixture;
   fixture.requestReload(GetParam().file.text());
-  EXPECT_TRUE(fixture.applied.empty()) << "not even its address";
+  EXPECT_TRUE(fixture.applied.empty()) << "no field may be applied, not even the relay address";
   const std::string line =
       std::string("new configuration rejected (") + GetParam().reason + "), keeping version 7 (";
   EXPECT_EQ(fixture.log.count(line), 1u) << fixture.log.text;
   for (const std::string& field : GetParam().fields) EXPECT_TRUE(fixture.log.has(field)) << fixture.log.text;
   fixture.requestReload(File::withDrainGrace(8, 10).text());
-  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a good file with that version is accepted after it";
+  EXPECT_EQ(fixture.drainGrace(), 10000000) << "a valid file with the same version is accepted afterwards";
 }
 
 INSTANTIATE_TEST_SUITE_P(All, RejectedConfig, testing::ValuesIn(rejectedFiles()),
@@ -222,32 +225,32 @@
   EXPECT_FALSE(fixture.log.has("rejected")) << fixture.log.text;
 }
 
-// Property: of a burst of good, stale, wrong and half written files the latest good one is in force at any
-// time.
-TEST(ConfigReload, LastOfABurstIsInForceAndNoWrongOneEverIs) {
+// Property: during a burst of valid, stale, invalid and half-written files, the latest valid one is active at
+// any time.
+TEST(ConfigReload, LatestValidFileOfABurstIsActiveAndAnInvalidOneNeverIs) {
   const unsigned seed = std::random_device{}();
   std::cout << "seed " << seed << '\n';
   std::mt19937 random(seed);
   ReloadFixture fixture;
-  std::size_t good = 0;
-  int inForce = 7;
+  std::size_t validFiles = 0;
+  int activeVersion = 7;
   for (int k = 1; k < 100; ++k) {
     const int version = 7 + k;
     const std::string complete = File::withDrainGrace(version, version).text();
-    const unsigned what = random() % 4;
-    if (what == 0) fixture.requestReload(complete.substr(0, random() % complete.size()));
-    if (what == 1) fixture.requestReload(File::withDrainGrace(static_cast<int>(random() % 7), 1).text());
-    if (what == 2) fixture.requestReload(withRules("", R"("shards":13)").text());
-    if (what == 3) {
+    const unsigned fileKind = random() % 4;
+    if (fileKind == 0) fixture.requestReload(complete.substr(0, random() % complete.size()));
+    if (fileKind == 1) fixture.requestReload(File::withDrainGrace(static_cast<int>(random() % 7), 1).text());
+    if (fileKind == 2) fixture.requestReload(withRules("", R"("shards":13)").text());
+    if (fileKind == 3) {
       fixture.requestReload(complete);
-      ++good;
-      inForce = version;
+      ++validFiles;
+      activeVersion = version;
     }
-    ASSERT_EQ(fixture.applied.size(), good) << "seed " << seed << ": " << fixture.log.text;
-    ASSERT_EQ(fixture.drainGrace(), good > 0 ? inForce * kSecondMicros : 0) << "seed " << seed;
+    ASSERT_EQ(fixture.applied.size(), validFiles) << "seed " << seed << ": " << fixture.log.text;
+    ASSERT_EQ(fixture.drainGrace(), validFiles > 0 ? activeVersion * kMicrosPerSecond : 0) << "seed " << seed;
   }
   fixture.requestReload(File::withDrainGrace(107, 107).text());
-  EXPECT_EQ(fixture.drainGrace(), 107 * kSecondMicros);
+  EXPECT_EQ(fixture.drainGrace(), 107 * kMicrosPerSecond);
   EXPECT_TRUE(fixture.log.has("configuration in force: version 107 (content ")) << "seed " << seed;
 }
 
--- a/tests/supervisor/dispatcher_test.cpp
+++ b/tests/supervisor/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// Events, actions and readiness between the packages.
+// Routing of actions to their receivers, and readiness of the supervisor.
 #include "dispatch/dispatcher.h"
 
 #include <gtest/gtest.h>
--- a/tests/supervisor/engine_runner_test.cpp
+++ b/tests/supervisor/engine_runner_test.cpp
@@ -1,4 +1,4 @@
-// The engine in turns of the loop, with its timers; no sockets.
+// Batches and timers of the engine, without sockets.
 #include "supervisor/engine_runner.h"
 
 #include <gtest/gtest.h>
@@ -32,8 +32,8 @@
   }
 };
 
-// The engine sees a slice together with its routes, so it does not place the slice anew.
-TEST_F(EngineRunnerTest, OneTurnIsOneBatch) {
+// If the engine received a slice without its routes, it would assign a new primary server to the slice.
+TEST_F(EngineRunnerTest, EventsOfOneTurnAreOneBatch) {
   EngineRunner runner(1, settings, dispatcher, *log.log);
   dispatcher.post(list(EndpointListKind::Cached));
   dispatcher.post(list(EndpointListKind::Full));
@@ -55,7 +55,7 @@
   settings.endpointsOnRequest = true;
   EngineRunner runner(1, settings, dispatcher, *log.log);
   runner.turn(500);
-  EXPECT_FALSE(runner.nextTimer().has_value()) << "no event";
+  EXPECT_FALSE(runner.nextTimer().has_value()) << "no event was posted";
   dispatcher.post(list(EndpointListKind::Cached));
   runner.turn(1000);
   EXPECT_EQ(listRequests, 1);
@@ -63,7 +63,7 @@
     const auto next = runner.nextTimer();
     ASSERT_TRUE(next.has_value());
     runner.turn(*next - 1);
-    EXPECT_EQ(runner.nextTimer(), next) << "not before it is due";
+    EXPECT_EQ(runner.nextTimer(), next) << "a timer must not fire before it is due";
     runner.turn(*next);
     EXPECT_GT(runner.nextTimer(), next);
   }
--- a/tests/supervisor/log_test.cpp
+++ b/tests/supervisor/log_test.cpp
@@ -1,4 +1,4 @@
-// The log: levels, a slow reader, and the codes of reasons.
+// The log: level filter, slow reader, and codes of close reasons.
 #include "log/log.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace peargrade::log {
 namespace {
 
-TEST(Log, FiltersByLevelAndKeepsOneLineForEachMessage) {
+TEST(Log, FiltersByLevelAndWritesOneLinePerMessage) {
   ReadLog read;
   Log filtered(read.ends[1], Level::Warn);
   filtered.info("x") << "not this";
@@ -23,8 +23,8 @@
   EXPECT_FALSE(levelNamed("loud").has_value());
 }
 
-// Lines that a stalled reader does not take are dropped and counted.
-TEST(Log, StalledReaderLosesLinesAndBlocksNothing) {
+// The log drops and counts lines while its reader is stalled.
+TEST(Log, StalledReaderLosesLinesWithoutBlockingTheProgram) {
   ReadLog read;
   for (int k = 0; k < 20000; ++k) {
     read.log->info("x") << "line " << k << std::string(100, '.');
--- a/tests/supervisor/signals_test.cpp
+++ b/tests/supervisor/signals_test.cpp
@@ -1,4 +1,4 @@
-// Signals that come before and after they can be handled.
+// Signals that arrive before the handlers are installed and after they are removed.
 #include "supervisor/signals.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   SignalsDeathTest() { GTEST_FLAG_SET(death_test_style, "threadsafe"); }
 };
 
-// A process whose last turn is over when signal `number` comes.
+// A process that receives signal `number` after its handlers were removed.
 [[noreturn]] void endThenRaise(int number) {
   {
     const net::EventBase base = net::makeBase();
--- a/tests/supervisor/timer_queue_test.cpp
+++ b/tests/supervisor/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// The timers of the engine: order and bound.
+// Order and size limit of the engine's timers.
 #include "supervisor/timer_queue.h"
 
 #include <gtest/gtest.h>
