--- a/scale/collector_worker.cpp
+++ b/scale/collector_worker.cpp
@@ -116,18 +116,18 @@
 }
 
 Measurements CollectorWorker::sample() {
-  Measurements m;
+  Measurements values;
   const ResourceUsage usage = ownResourceUsage();
-  m["cpu_s"] = {usage.cpuSeconds};
-  m["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
-  m["state_bytes"] = {static_cast<double>(heapBytes())};
-  m["reports_out_bytes"] = {static_cast<double>(bytesSent_)};
-  m["reports_out_messages"] = {static_cast<double>(messagesSent_)};
-  m["late_periods"] = {static_cast<double>(skippedPeriods_)};
-  m["unsent_most"] = {static_cast<double>(maxUnsentBytes_)};
-  m["state_entries"] = {
+  values["cpu_s"] = {usage.cpuSeconds};
+  values["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
+  values["state_bytes"] = {static_cast<double>(heapBytes())};
+  values["reports_out_bytes"] = {static_cast<double>(bytesSent_)};
+  values["reports_out_messages"] = {static_cast<double>(messagesSent_)};
+  values["late_periods"] = {static_cast<double>(skippedPeriods_)};
+  values["unsent_most"] = {static_cast<double>(maxUnsentBytes_)};
+  values["state_entries"] = {
       static_cast<double>(targets_.size() * static_cast<std::size_t>(scenario_.sizes.zones))};
-  return m;
+  return values;
 }
 
 Measurements CollectorWorker::handle(const Command& command) {
--- a/scale/control_machine_worker.cpp
+++ b/scale/control_machine_worker.cpp
@@ -88,14 +88,14 @@
 }
 
 Measurements ControlMachineWorker::sample() {
-  Measurements m;
+  Measurements values;
   const ResourceUsage usage = ownResourceUsage();
-  m["cpu_s"] = {usage.cpuSeconds};
-  m["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
-  m["state_bytes"] = {static_cast<double>(heapBytes() - initialHeapBytes_)};
-  m["allocations"] = {static_cast<double>(allocations())};
-  m["configuration_in_bytes"] = {static_cast<double>(configurationBytes_)};
-  m["configuration_in_messages"] = {static_cast<double>(configurationReads_)};
+  values["cpu_s"] = {usage.cpuSeconds};
+  values["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
+  values["state_bytes"] = {static_cast<double>(heapBytes() - initialHeapBytes_)};
+  values["allocations"] = {static_cast<double>(allocations())};
+  values["configuration_in_bytes"] = {static_cast<double>(configurationBytes_)};
+  values["configuration_in_messages"] = {static_cast<double>(configurationReads_)};
   double events = 0;
   double reports = 0;
   double relayEvents = 0;
@@ -121,26 +121,26 @@
                             member->withoutListSince == 0 ? 0 : now - member->withoutListSince});
     member->maxWithoutList = 0;
   }
-  m["events"] = {events};
-  m["reports"] = {reports};
-  m["news"] = {relayEvents};
-  m["lists"] = {lists};
-  m["timers"] = {timers};
-  m["replies_missed"] = {missedReplies};
-  m["orders_lost"] = {lostCommands};
-  m["calls"] = {calls};
-  m["connections"] = {connections};
-  m["without_list_most_s"] = {static_cast<double>(withoutList) / 1e6};
-  return m;
+  values["events"] = {events};
+  values["reports"] = {reports};
+  values["news"] = {relayEvents};
+  values["lists"] = {lists};
+  values["timers"] = {timers};
+  values["replies_missed"] = {missedReplies};
+  values["orders_lost"] = {lostCommands};
+  values["calls"] = {calls};
+  values["connections"] = {connections};
+  values["without_list_most_s"] = {static_cast<double>(withoutList) / 1e6};
+  return values;
 }
 
 Measurements ControlMachineWorker::handle(const Command& command) {
   const std::string& verb = command.at(0);
   if (verb == "sample") return sample();
-  Measurements m;
+  Measurements values;
   if (verb == "addresses") {
-    for (const auto& member : members_) m["port"].push_back(member->node->address().port);
-    return m;
+    for (const auto& member : members_) values["port"].push_back(member->node->address().port);
+    return values;
   }
   if (verb == "status") {
     double ready = 0;
@@ -156,26 +156,26 @@
     for (const auto& member : members_) {
       const auto found = std::find_if(member->revisions.begin(), member->revisions.end(),
                                       [&](const auto& entry) { return entry.first >= revision; });
-      m["at"].push_back(found == member->revisions.end() ? -1 : static_cast<double>(found->second));
-      m["born"].push_back(static_cast<double>(member->startedAt));
+      values["at"].push_back(found == member->revisions.end() ? -1 : static_cast<double>(found->second));
+      values["born"].push_back(static_cast<double>(member->startedAt));
     }
-    return m;
+    return values;
   }
   if (verb == "digest") {
     for (const auto& member : members_) {
       std::uint64_t sum = 0;
       for (const auto& [server, draining] : member->list) sum += entryHash(server, draining);
-      m["hash_high"].push_back(static_cast<double>(sum >> 32));
-      m["hash_low"].push_back(static_cast<double>(sum & 0xffffffffu));
-      m["entries"].push_back(static_cast<double>(member->list.size()));
+      values["hash_high"].push_back(static_cast<double>(sum >> 32));
+      values["hash_low"].push_back(static_cast<double>(sum & 0xffffffffu));
+      values["entries"].push_back(static_cast<double>(member->list.size()));
     }
-    return m;
+    return values;
   }
   if (verb == "reload") {
     useOtherDiscovery_ = command.at(1) == "1";
-    m["at"] = {static_cast<double>(net::steadyNow())};
+    values["at"] = {static_cast<double>(net::steadyNow())};
     for (const auto& member : members_) member->node->reload();
-    return m;
+    return values;
   }
   throw WorkerError("unknown command of the control machine worker: '" + verb + "'");
 }
--- a/scale/discovery_worker.cpp
+++ b/scale/discovery_worker.cpp
@@ -37,7 +37,7 @@
 // Each change drains the next server; while a tenth of the servers are draining, it instead returns the
 // longest draining one to service.
 Measurements DiscoveryWorker::changeEntries(int count) {
-  Measurements m{{"at", {static_cast<double>(net::steadyNow())}}, {"server", {}}, {"drains", {}}};
+  Measurements values{{"at", {static_cast<double>(net::steadyNow())}}, {"server", {}}, {"drains", {}}};
   const std::size_t maxDraining = std::max<std::size_t>(1, draining_.size() / 10);
   for (int k = 0; k < count; ++k) {
     const bool draining = drainingServers_.size() < maxDraining;
@@ -50,21 +50,21 @@
       drainingServers_.pop_front();
     }
     publish(server, draining);
-    m["server"].push_back(server);
-    m["drains"].push_back(draining ? 1 : 0);
+    values["server"].push_back(server);
+    values["drains"].push_back(draining ? 1 : 0);
   }
-  m["revision"] = {static_cast<double>(first_.rev)};
-  return m;
+  values["revision"] = {static_cast<double>(first_.rev)};
+  return values;
 }
 
 Measurements DiscoveryWorker::sample() {
-  Measurements m;
+  Measurements values;
   const ResourceUsage usage = ownResourceUsage();
-  m["cpu_s"] = {usage.cpuSeconds};
-  m["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
-  m["state_bytes"] = {static_cast<double>(heapBytes())};
-  m["state_entries"] = {static_cast<double>(first_.held() + first_.watching())};
-  m["unsent_most"] = {static_cast<double>(std::max(first_.unsentMost, second_.unsentMost))};
+  values["cpu_s"] = {usage.cpuSeconds};
+  values["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
+  values["state_bytes"] = {static_cast<double>(heapBytes())};
+  values["state_entries"] = {static_cast<double>(first_.held() + first_.watching())};
+  values["unsent_most"] = {static_cast<double>(std::max(first_.unsentMost, second_.unsentMost))};
   double bytesIn = 0;
   double bytesOut = 0;
   double messagesIn = 0;
@@ -75,17 +75,17 @@
     messagesIn += static_cast<double>(discovery->in.all().messages);
     messagesOut += static_cast<double>(discovery->out.all().messages);
     for (const auto& [kind, count] : discovery->out.kinds) {
-      m["out." + kind + ".bytes"].resize(1);
-      m["out." + kind + ".bytes"][0] += static_cast<double>(count.bytes);
-      m["out." + kind + ".messages"].resize(1);
-      m["out." + kind + ".messages"][0] += static_cast<double>(count.messages);
+      values["out." + kind + ".bytes"].resize(1);
+      values["out." + kind + ".bytes"][0] += static_cast<double>(count.bytes);
+      values["out." + kind + ".messages"].resize(1);
+      values["out." + kind + ".messages"][0] += static_cast<double>(count.messages);
     }
   }
-  m["list_in_bytes"] = {bytesIn};
-  m["list_out_bytes"] = {bytesOut};
-  m["list_in_messages"] = {messagesIn};
-  m["list_out_messages"] = {messagesOut};
-  return m;
+  values["list_in_bytes"] = {bytesIn};
+  values["list_out_bytes"] = {bytesOut};
+  values["list_in_messages"] = {messagesIn};
+  values["list_out_messages"] = {messagesOut};
+  return values;
 }
 
 Measurements DiscoveryWorker::handle(const Command& command) {
--- a/scale/fit.cpp
+++ b/scale/fit.cpp
@@ -84,36 +84,37 @@
   }
   const double scale = byX.rbegin()->first == 0 ? 1 : byX.rbegin()->first;
   const Eigen::Vector2d line = fitPowerLaw(points, 1, scale);
-  Fit f;
-  f.points = points.size();
-  f.distinctX = byX.size();
-  f.intercept = line(0);
-  f.slope = line(1) / scale;
+  Fit result;
+  result.points = points.size();
+  result.distinctX = byX.size();
+  result.intercept = line(0);
+  result.slope = line(1) / scale;
   const double meanSize = std::max(std::abs(mean), 1e-300);
   const double lineResidual = residualOf(points, line, 1, scale);
-  f.residual = lineResidual / meanSize;
-  f.noise = rootMeanSquare(deviations) / meanSize;
+  result.residual = lineResidual / meanSize;
+  result.noise = rootMeanSquare(deviations) / meanSize;
   for (const auto& [x, y] : means) {
-    const double deviation = (y - f.intercept - f.slope * x) / meanSize;
-    if (std::abs(deviation) > std::abs(f.worstDeviation)) f.worstDeviation = deviation, f.worstDeviationX = x;
+    const double deviation = (y - result.intercept - result.slope * x) / meanSize;
+    if (std::abs(deviation) > std::abs(result.worstDeviation))
+      result.worstDeviation = deviation, result.worstDeviationX = x;
   }
   double bestResidual = lineResidual;
   for (double power = kMinPower; power <= kMaxPower; power += kPowerStep) {
     const double residual = residualOf(points, fitPowerLaw(points, power, scale), power, scale);
-    if (residual < bestResidual) bestResidual = residual, f.power = power;
+    if (residual < bestResidual) bestResidual = residual, result.power = power;
   }
-  const double rise = f.slope * (byX.rbegin()->first - byX.begin()->first) / meanSize;
-  const bool curved = f.residual >= kSmallResidual && std::abs(f.power - 1) > kPowerMargin &&
+  const double rise = result.slope * (byX.rbegin()->first - byX.begin()->first) / meanSize;
+  const bool curved = result.residual >= kSmallResidual && std::abs(result.power - 1) > kPowerMargin &&
                       bestResidual < kMaxCurveResidual * lineResidual;
-  if (std::abs(rise) < std::max(kMaxFlatRise, 2 * f.noise))
-    f.growth = Growth::Flat;
+  if (std::abs(rise) < std::max(kMaxFlatRise, 2 * result.noise))
+    result.growth = Growth::Flat;
   else if (rise < 0)
-    f.growth = Growth::Falls;
+    result.growth = Growth::Falls;
   else if (!curved)
-    f.growth = Growth::Linear;
+    result.growth = Growth::Linear;
   else
-    f.growth = f.power > 1 ? Growth::AboveLinear : Growth::BelowLinear;
-  return f;
+    result.growth = result.power > 1 ? Growth::AboveLinear : Growth::BelowLinear;
+  return result;
 }
 
 }  // namespace peargrade::scale
--- a/scale/fleet.cpp
+++ b/scale/fleet.cpp
@@ -200,24 +200,25 @@
 }
 
 Fleet::Sample Fleet::takeSample() {
-  Sample s;
+  Sample sample;
   std::vector<WorkerProcess*> workers{discovery_.get(), relay_.get(), collectors_.get()};
   for (const auto& machine : machines_) {
     if (machine) workers.push_back(machine.get());
   }
   for (WorkerProcess* worker : workers) worker->sendCommand("sample");
-  s.at = net::steadyNow();
-  for (const auto& process : supervisorProcesses_) s.supervisorProcesses.push_back(process->resourceUsage());
-  s.discovery = discovery_->receiveReply();
-  s.relay = relay_->receiveReply();
-  s.collectors = collectors_->receiveReply();
+  sample.at = net::steadyNow();
+  for (const auto& process : supervisorProcesses_)
+    sample.supervisorProcesses.push_back(process->resourceUsage());
+  sample.discovery = discovery_->receiveReply();
+  sample.relay = relay_->receiveReply();
+  sample.collectors = collectors_->receiveReply();
   for (const auto& machine : machines_) {
-    s.machines.push_back(machine ? machine->receiveReply() : Measurements{});
-    s.machinePids.push_back(machine ? machine->process() : -1);
+    sample.machines.push_back(machine ? machine->receiveReply() : Measurements{});
+    sample.machinePids.push_back(machine ? machine->process() : -1);
     maxSecondsWithoutList_ =
-        std::max(maxSecondsWithoutList_, firstValue(s.machines.back(), "without_list_most_s"));
+        std::max(maxSecondsWithoutList_, firstValue(sample.machines.back(), "without_list_most_s"));
   }
-  return s;
+  return sample;
 }
 
 RunResult Fleet::run() {
@@ -330,21 +331,21 @@
 // ---- Records ----
 
 Record Fleet::makeRecord(const char* role, double span) const {
-  Record r;
-  r.scenario = scenario_.name;
-  r.role = role;
-  r.host = hostInfo();
-  r.seed = scenario_.seed;
-  r.seconds = span;
-  r.sizes = sizesOf(scenario_);
-  return r;
+  Record record;
+  record.scenario = scenario_.name;
+  record.role = role;
+  record.host = hostInfo();
+  record.seed = scenario_.seed;
+  record.seconds = span;
+  record.sizes = sizesOf(scenario_);
+  return record;
 }
 
 // Means per simulated supervisor: resource usage of their processes, and the counters of their peers.
 Record Fleet::simulatedSupervisorRecord(const Sample& from, const Sample& to, double members) const {
   const double span = seconds(to.at - from.at);
-  Record r = makeRecord("supervisor", span);
-  auto& m = r.metrics;
+  Record record = makeRecord("supervisor", span);
+  auto& metrics = record.metrics;
   const double supervisors = scenario_.sizes.supervisors;
   for (std::size_t k = 0; k < to.machines.size(); ++k) {
     if (from.machines[k].empty() || to.machines[k].empty()) continue;
@@ -360,63 +361,66 @@
                                         {"timers_per_s", "timers"},
                                         {"configuration_in_bytes_per_s", "configuration_in_bytes"},
                                         {"configuration_in_messages_per_s", "configuration_in_messages"}})
-      m[name] += counterDelta(begin, to.machines[k], counter) / span / members;
-    m["resident_bytes"] += firstValue(to.machines[k], "resident_bytes") / members;
-    m["state_bytes"] += firstValue(to.machines[k], "state_bytes") / members;
-    m["replies_missed"] += firstValue(to.machines[k], "replies_missed");
+      metrics[name] += counterDelta(begin, to.machines[k], counter) / span / members;
+    metrics["resident_bytes"] += firstValue(to.machines[k], "resident_bytes") / members;
+    metrics["state_bytes"] += firstValue(to.machines[k], "state_bytes") / members;
+    metrics["replies_missed"] += firstValue(to.machines[k], "replies_missed");
   }
-  const Sizes& s = scenario_.sizes;
-  m["state_entries"] = static_cast<double>(s.servers) * (1 + s.zones) + s.slices + s.proxies;
-  m["first_list_bytes"] = firstListBytes_;
-  m["list_in_bytes_per_s"] =
+  const Sizes& sizes = scenario_.sizes;
+  metrics["state_entries"] =
+      static_cast<double>(sizes.servers) * (1 + sizes.zones) + sizes.slices + sizes.proxies;
+  metrics["first_list_bytes"] = firstListBytes_;
+  metrics["list_in_bytes_per_s"] =
       counterDelta(from.discovery, to.discovery, "list_out_bytes") / span / supervisors;
-  m["list_in_messages_per_s"] =
+  metrics["list_in_messages_per_s"] =
       counterDelta(from.discovery, to.discovery, "list_out_messages") / span / supervisors;
-  m["list_out_bytes_per_s"] =
+  metrics["list_out_bytes_per_s"] =
       counterDelta(from.discovery, to.discovery, "list_in_bytes") / span / supervisors;
-  m["list_out_messages_per_s"] =
+  metrics["list_out_messages_per_s"] =
       counterDelta(from.discovery, to.discovery, "list_in_messages") / span / supervisors;
   double relayBytes = 0;
   for (const char* kind : {"standing", "attach", "detach", "owner", "done", "life", "other"})
     relayBytes += counterDelta(from.relay, to.relay, std::string("out.") + kind + ".bytes");
-  m["news_in_bytes_per_s"] = relayBytes / span / supervisors;
-  m["orders_out_bytes_per_s"] = counterDelta(from.relay, to.relay, "in.apply.bytes") / span / supervisors;
-  m["orders_out_messages_per_s"] =
+  metrics["news_in_bytes_per_s"] = relayBytes / span / supervisors;
+  metrics["orders_out_bytes_per_s"] =
+      counterDelta(from.relay, to.relay, "in.apply.bytes") / span / supervisors;
+  metrics["orders_out_messages_per_s"] =
       counterDelta(from.relay, to.relay, "in.apply.messages") / span / supervisors;
-  m["orders_in_bytes_per_s"] = counterDelta(from.relay, to.relay, "out.answer.bytes") / span / supervisors;
-  m["orders_in_messages_per_s"] =
+  metrics["orders_in_bytes_per_s"] =
+      counterDelta(from.relay, to.relay, "out.answer.bytes") / span / supervisors;
+  metrics["orders_in_messages_per_s"] =
       counterDelta(from.relay, to.relay, "out.answer.messages") / span / supervisors;
-  m["reports_in_bytes_per_s"] =
+  metrics["reports_in_bytes_per_s"] =
       counterDelta(from.collectors, to.collectors, "reports_out_bytes") / span / supervisors;
-  m["control_bytes_per_s"] = m["list_in_bytes_per_s"] + m["list_out_bytes_per_s"] + m["news_in_bytes_per_s"] +
-                             m["orders_out_bytes_per_s"] + m["orders_in_bytes_per_s"] +
-                             m["reports_in_bytes_per_s"];
-  m["longest_without_list_s"] = maxSecondsWithoutList_;
-  return r;
+  metrics["control_bytes_per_s"] = metrics["list_in_bytes_per_s"] + metrics["list_out_bytes_per_s"] +
+                                   metrics["news_in_bytes_per_s"] + metrics["orders_out_bytes_per_s"] +
+                                   metrics["orders_in_bytes_per_s"] + metrics["reports_in_bytes_per_s"];
+  metrics["longest_without_list_s"] = maxSecondsWithoutList_;
+  return record;
 }
 
 Record Fleet::supervisorProcessRecord(const Sample& from, const Sample& to) const {
   const double span = seconds(to.at - from.at);
-  Record r = makeRecord("supervisor", span);
-  r.scenario += "/real";
+  Record record = makeRecord("supervisor", span);
+  record.scenario += "/real";
   const double count = static_cast<double>(to.supervisorProcesses.size());
   for (std::size_t k = 0; k < to.supervisorProcesses.size(); ++k) {
-    r.metrics["cpu_share"] +=
+    record.metrics["cpu_share"] +=
         (to.supervisorProcesses[k].cpuSeconds - from.supervisorProcesses[k].cpuSeconds) / span / count;
-    r.metrics["resident_bytes"] += static_cast<double>(to.supervisorProcesses[k].residentBytes) / count;
+    record.metrics["resident_bytes"] += static_cast<double>(to.supervisorProcesses[k].residentBytes) / count;
   }
-  return r;
+  return record;
 }
 
 std::vector<Record> Fleet::peerRecords(const Sample& from, const Sample& to) const {
   const double span = seconds(to.at - from.at);
   const auto base = [&](const char* role, const Measurements& a, const Measurements& b, double members) {
-    Record r = makeRecord(role, span);
-    r.metrics["cpu_share"] = counterDelta(a, b, "cpu_s") / span / members;
+    Record record = makeRecord(role, span);
+    record.metrics["cpu_share"] = counterDelta(a, b, "cpu_s") / span / members;
     for (const char* name : {"resident_bytes", "state_bytes", "state_entries"})
-      r.metrics[name] = firstValue(b, name) / members;
-    r.metrics["unsent_most_bytes"] = firstValue(b, "unsent_most");
-    return r;
+      record.metrics[name] = firstValue(b, name) / members;
+    record.metrics["unsent_most_bytes"] = firstValue(b, "unsent_most");
+    return record;
   };
   Record discovery = base("discovery", from.discovery, to.discovery, 1);
   for (const char* name : {"list_in_bytes", "list_out_bytes", "list_in_messages", "list_out_messages"})
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -153,13 +153,14 @@
 /// Prints a table with the fit of each metric of a sweep.
 int fitAll(const FitOptions& options) {
   std::map<std::pair<std::string, std::string>, std::vector<Point>> byMetric;
-  for (const Record& r : readRecords(options.file)) {
-    if (r.variable != options.variable || (!options.role.empty() && r.role != options.role)) continue;
-    const auto slash = r.scenario.find('/');
-    const std::string role = r.role + (slash == std::string::npos ? "" : r.scenario.substr(slash));
-    for (const auto& [name, value] : r.metrics) {
+  for (const Record& record : readRecords(options.file)) {
+    if (record.variable != options.variable || (!options.role.empty() && record.role != options.role))
+      continue;
+    const auto slash = record.scenario.find('/');
+    const std::string role = record.role + (slash == std::string::npos ? "" : record.scenario.substr(slash));
+    for (const auto& [name, value] : record.metrics) {
       if (options.metric.empty() || options.metric == name)
-        byMetric[{role, name}].push_back({r.value, value});
+        byMetric[{role, name}].push_back({record.value, value});
     }
   }
   if (byMetric.empty())
@@ -188,10 +189,10 @@
 /// Compares the slopes of simulated supervisors with those of supervisor processes in the same runs.
 int compare(const CompareOptions& options) {
   std::map<std::string, std::vector<Point>> simulated, processes;
-  for (const Record& r : readRecords(options.file)) {
-    if (r.variable != options.variable || r.role != "supervisor") continue;
-    auto& metrics = r.scenario.find('/') == std::string::npos ? simulated : processes;
-    for (const auto& [name, value] : r.metrics) metrics[name].push_back({r.value, value});
+  for (const Record& record : readRecords(options.file)) {
+    if (record.variable != options.variable || record.role != "supervisor") continue;
+    auto& metrics = record.scenario.find('/') == std::string::npos ? simulated : processes;
+    for (const auto& [name, value] : record.metrics) metrics[name].push_back({record.value, value});
   }
   if (processes.empty())
     throw std::runtime_error(options.file +
--- a/scale/relay_worker.cpp
+++ b/scale/relay_worker.cpp
@@ -174,11 +174,11 @@
 }
 
 Measurements RelayWorker::sample() {
-  Measurements m;
+  Measurements values;
   const ResourceUsage usage = ownResourceUsage();
-  m["cpu_s"] = {usage.cpuSeconds};
-  m["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
-  m["state_bytes"] = {static_cast<double>(heapBytes())};
+  values["cpu_s"] = {usage.cpuSeconds};
+  values["resident_bytes"] = {static_cast<double>(usage.residentBytes)};
+  values["state_bytes"] = {static_cast<double>(heapBytes())};
   double entries = 0;
   double maxUnsentBytes = 0;
   for (const Store& store : stores_) {
@@ -191,33 +191,33 @@
       for (const auto& [kind, count] : traffic->kinds) {
         for (const auto& [unit, amount] :
              {std::pair<const char*, std::uint64_t>{".bytes", count.bytes}, {".messages", count.messages}}) {
-          std::vector<double>& total = m[std::string(direction) + "." + kind + unit];
+          std::vector<double>& total = values[std::string(direction) + "." + kind + unit];
           total.resize(1);
           total[0] += static_cast<double>(amount);
         }
       }
     }
   }
-  m["state_entries"] = {entries};
-  m["unsent_most"] = {maxUnsentBytes};
-  m["proxy.cpu_s"] = {proxies_.cpuSeconds};
-  m["proxy.messages"] = {static_cast<double>(proxies_.messages)};
-  m["proxy.message_bytes"] = {static_cast<double>(proxies_.messageBytes)};
-  m["proxy.entries"] = {static_cast<double>(proxies_.entries())};
-  m["proxy.bytes"] = {static_cast<double>(proxies_.bytes())};
-  m["bare_most_s"] = {static_cast<double>(maxUnroutable_) / 1e6};
-  m["calls_most"] = {maxCalls_};
-  m["lines_waiting_most"] = {maxQueuedLines_};
-  m["stale_most_s"] = {static_cast<double>(maxStaleRoute_) / 1e6};
-  return m;
+  values["state_entries"] = {entries};
+  values["unsent_most"] = {maxUnsentBytes};
+  values["proxy.cpu_s"] = {proxies_.cpuSeconds};
+  values["proxy.messages"] = {static_cast<double>(proxies_.messages)};
+  values["proxy.message_bytes"] = {static_cast<double>(proxies_.messageBytes)};
+  values["proxy.entries"] = {static_cast<double>(proxies_.entries())};
+  values["proxy.bytes"] = {static_cast<double>(proxies_.bytes())};
+  values["bare_most_s"] = {static_cast<double>(maxUnroutable_) / 1e6};
+  values["calls_most"] = {maxCalls_};
+  values["lines_waiting_most"] = {maxQueuedLines_};
+  values["stale_most_s"] = {static_cast<double>(maxStaleRoute_) / 1e6};
+  return values;
 }
 
 Measurements RelayWorker::handle(const Command& command) {
   const std::string& verb = command.at(0);
   if (verb == "addresses") {
-    Measurements m;
-    for (const Store& store : stores_) m["port"].push_back(store.relay->address().port);
-    return m;
+    Measurements values;
+    for (const Store& store : stores_) values["port"].push_back(store.relay->address().port);
+    return values;
   }
   if (verb == "watches") {
     double connected = 0;
--- a/scale/result.cpp
+++ b/scale/result.cpp
@@ -40,20 +40,20 @@
 }
 
 Record parseRecord(const rapidjson::Value& json) {
-  Record r;
-  r.revision = json["revision"].GetString();
-  r.scenario = json["scenario"].GetString();
-  r.role = json["role"].GetString();
-  r.variable = json["variable"].GetString();
-  r.value = json["value"].GetDouble();
-  r.repetition = json["repetition"].GetInt();
-  r.seed = json["seed"].GetUint64();
-  r.seconds = json["seconds"].GetDouble();
-  r.host.cores = json["machine"]["cores"].GetInt();
-  r.host.memoryBytes = json["machine"]["memory_mb"].GetInt64() << 20;
-  r.sizes = parseMetrics(json, "sizes");
-  r.metrics = parseMetrics(json, "metrics");
-  return r;
+  Record record;
+  record.revision = json["revision"].GetString();
+  record.scenario = json["scenario"].GetString();
+  record.role = json["role"].GetString();
+  record.variable = json["variable"].GetString();
+  record.value = json["value"].GetDouble();
+  record.repetition = json["repetition"].GetInt();
+  record.seed = json["seed"].GetUint64();
+  record.seconds = json["seconds"].GetDouble();
+  record.host.cores = json["machine"]["cores"].GetInt();
+  record.host.memoryBytes = json["machine"]["memory_mb"].GetInt64() << 20;
+  record.sizes = parseMetrics(json, "sizes");
+  record.metrics = parseMetrics(json, "metrics");
+  return record;
 }
 
 /// Whether the object has all members of a record, with their types.
@@ -78,46 +78,46 @@
 
 }  // namespace
 
-std::map<std::string, double> sizesOf(const Scenario& s) {
+std::map<std::string, double> sizesOf(const Scenario& scenario) {
   std::map<std::string, double> sizes;
   for (const char* name : {"supervisors", "machines", "real", "servers", "services", "racks", "slices",
                            "proxies", "zones", "regions", "tenants", "reported", "requests"})
-    sizes[name] = variableValue(s, name);
-  sizes["changes_per_minute"] = s.changesPerMinute;
-  sizes["reports_every_s"] = static_cast<double>(s.reportInterval) / 1e6;
+    sizes[name] = variableValue(scenario, name);
+  sizes["changes_per_minute"] = scenario.changesPerMinute;
+  sizes["reports_every_s"] = static_cast<double>(scenario.reportInterval) / 1e6;
   return sizes;
 }
 
-void writeRecord(std::ostream& out, const Record& r) {
+void writeRecord(std::ostream& out, const Record& record) {
   rapidjson::StringBuffer text;
   Writer json(text);
   json.SetMaxDecimalPlaces(9);
   json.StartObject();
   json.Key("revision");
-  json.String(r.revision.c_str());
+  json.String(record.revision.c_str());
   json.Key("machine");
   json.StartObject();
   json.Key("cores");
-  json.Int(r.host.cores);
+  json.Int(record.host.cores);
   json.Key("memory_mb");
-  json.Int64(r.host.memoryBytes >> 20);
+  json.Int64(record.host.memoryBytes >> 20);
   json.EndObject();
   json.Key("scenario");
-  json.String(r.scenario.c_str());
+  json.String(record.scenario.c_str());
   json.Key("role");
-  json.String(r.role.c_str());
+  json.String(record.role.c_str());
   json.Key("variable");
-  json.String(r.variable.c_str());
+  json.String(record.variable.c_str());
   json.Key("value");
-  writeNumber(json, r.value);
+  writeNumber(json, record.value);
   json.Key("repetition");
-  json.Int(r.repetition);
+  json.Int(record.repetition);
   json.Key("seed");
-  json.Uint64(r.seed);
+  json.Uint64(record.seed);
   json.Key("seconds");
-  json.Double(r.seconds);
-  writeMetrics(json, "sizes", r.sizes);
-  writeMetrics(json, "metrics", r.metrics);
+  json.Double(record.seconds);
+  writeMetrics(json, "sizes", record.sizes);
+  writeMetrics(json, "metrics", record.metrics);
   json.EndObject();
   out << text.GetString() << '\n' << std::flush;
 }
--- a/scale/scenario.cpp
+++ b/scale/scenario.cpp
@@ -99,9 +99,9 @@
   return all;
 }
 
-std::string formatComplaint(const std::string& file, const op::Complaint& c) {
-  return file + ":" + std::to_string(c.place.line) + ":" + std::to_string(c.place.column) + ": " + c.where +
-         ": found " + c.found + ", expected " + c.expected;
+std::string formatComplaint(const std::string& file, const op::Complaint& complaint) {
+  return file + ":" + std::to_string(complaint.place.line) + ":" + std::to_string(complaint.place.column) +
+         ": " + complaint.where + ": found " + complaint.found + ", expected " + complaint.expected;
 }
 
 void throwIfAny(std::vector<op::Complaint>& complaints, const std::string& file) {
@@ -110,7 +110,8 @@
     return std::pair(a.place.line, a.place.column) < std::pair(b.place.line, b.place.column);
   });
   std::string lines;
-  for (const op::Complaint& c : complaints) lines += (lines.empty() ? "" : "\n") + formatComplaint(file, c);
+  for (const op::Complaint& complaint : complaints)
+    lines += (lines.empty() ? "" : "\n") + formatComplaint(file, complaint);
   throw ScenarioError(lines);
 }
 
@@ -120,8 +121,8 @@
   return word == "reload" ? EventKind::Reload : EventKind::Change;
 }
 
-Sizes parseSizes(const Section& s) {
-  const auto integer = [&](const char* name) { return static_cast<int>(s.whole(name)); };
+Sizes parseSizes(const Section& section) {
+  const auto integer = [&](const char* name) { return static_cast<int>(section.whole(name)); };
   Sizes sizes;
   sizes.supervisors = integer("supervisors");
   sizes.machines = integer("machines");
@@ -138,44 +139,45 @@
 }
 
 // Checks limits that depend on several fields.
-void checkCombinations(const Scenario& s, const Section& top, std::vector<op::Complaint>& complaints) {
+void checkCombinations(const Scenario& scenario, const Section& top, std::vector<op::Complaint>& complaints) {
   const auto& sizes = top.block("sizes");
   const auto requireAtMost = [&](const char* name, int value, int limit, const char* of) {
     if (value <= limit) return;
     complaints.push_back({sizes.one(name).place, std::string("sizes.") + name, std::to_string(value),
                           "no more than the number of " + std::string(of) + ", " + std::to_string(limit)});
   };
-  requireAtMost("real", s.sizes.real, s.sizes.supervisors, "supervisors");
-  requireAtMost("machines", s.sizes.machines, s.sizes.supervisors, "supervisors");
-  requireAtMost("services", s.sizes.services, s.sizes.servers, "servers");
-  requireAtMost("racks", s.sizes.racks, s.sizes.servers, "servers");
-  requireAtMost("regions", s.sizes.regions, s.sizes.zones, "zones");
-  for (const ScenarioEvent& e : s.events) {
-    if (e.at > s.measurement)
-      complaints.push_back({e.place, "event.at", std::to_string(e.at / 1000) + "ms",
-                            "a time within run.measured, " + std::to_string(s.measurement / 1000) + "ms"});
+  requireAtMost("real", scenario.sizes.real, scenario.sizes.supervisors, "supervisors");
+  requireAtMost("machines", scenario.sizes.machines, scenario.sizes.supervisors, "supervisors");
+  requireAtMost("services", scenario.sizes.services, scenario.sizes.servers, "servers");
+  requireAtMost("racks", scenario.sizes.racks, scenario.sizes.servers, "servers");
+  requireAtMost("regions", scenario.sizes.regions, scenario.sizes.zones, "zones");
+  for (const ScenarioEvent& event : scenario.events) {
+    if (event.at > scenario.measurement)
+      complaints.push_back(
+          {event.place, "event.at", std::to_string(event.at / 1000) + "ms",
+           "a time within run.measured, " + std::to_string(scenario.measurement / 1000) + "ms"});
   }
 }
 
 // Both return the field that a sweep may set, by its name in the file; null if there is none.
-double* findRate(Scenario& s, const std::string& name) {
-  if (name == "requests") return &s.requestsPerSecond;
-  if (name == "changes-per-minute") return &s.changesPerMinute;
+double* findRate(Scenario& scenario, const std::string& name) {
+  if (name == "requests") return &scenario.requestsPerSecond;
+  if (name == "changes-per-minute") return &scenario.changesPerMinute;
   return nullptr;
 }
-int* findSize(Scenario& s, const std::string& name) {
-  const std::pair<const char*, int*> all[] = {{"supervisors", &s.sizes.supervisors},
-                                              {"machines", &s.sizes.machines},
-                                              {"real", &s.sizes.real},
-                                              {"servers", &s.sizes.servers},
-                                              {"services", &s.sizes.services},
-                                              {"racks", &s.sizes.racks},
-                                              {"slices", &s.sizes.slices},
-                                              {"proxies", &s.sizes.proxies},
-                                              {"zones", &s.sizes.zones},
-                                              {"regions", &s.sizes.regions},
-                                              {"tenants", &s.sizes.tenants},
-                                              {"reported", &s.reportedServers}};
+int* findSize(Scenario& scenario, const std::string& name) {
+  const std::pair<const char*, int*> all[] = {{"supervisors", &scenario.sizes.supervisors},
+                                              {"machines", &scenario.sizes.machines},
+                                              {"real", &scenario.sizes.real},
+                                              {"servers", &scenario.sizes.servers},
+                                              {"services", &scenario.sizes.services},
+                                              {"racks", &scenario.sizes.racks},
+                                              {"slices", &scenario.sizes.slices},
+                                              {"proxies", &scenario.sizes.proxies},
+                                              {"zones", &scenario.sizes.zones},
+                                              {"regions", &scenario.sizes.regions},
+                                              {"tenants", &scenario.sizes.tenants},
+                                              {"reported", &scenario.reportedServers}};
   for (const auto& [known, size] : all) {
     if (name == known) return size;
   }
@@ -190,36 +192,36 @@
   std::vector<op::Complaint> complaints;
   const Section top = op::check(schema(), kdl::parse(text), complaints);
   throwIfAny(complaints, file);
-  Scenario s;
-  s.file = file;
-  s.name = top.one("name").text;
-  s.seed = static_cast<std::uint64_t>(top.whole("seed"));
-  s.timeLimit = top.micros("bound");
-  s.verifyLists = top.one("checked").yes;
-  s.sizes = parseSizes(top.block("sizes"));
-  s.sizesPlace = top.block("sizes").place;
+  Scenario scenario;
+  scenario.file = file;
+  scenario.name = top.one("name").text;
+  scenario.seed = static_cast<std::uint64_t>(top.whole("seed"));
+  scenario.timeLimit = top.micros("bound");
+  scenario.verifyLists = top.one("checked").yes;
+  scenario.sizes = parseSizes(top.block("sizes"));
+  scenario.sizesPlace = top.block("sizes").place;
   const Section& rates = top.block("rates");
-  s.reportInterval = rates.micros("reports-every");
-  s.reportedServers = static_cast<int>(rates.whole("reported"));
-  s.requestsPerSecond = rates.one("requests").number;
-  s.changesPerMinute = rates.one("changes-per-minute").number;
+  scenario.reportInterval = rates.micros("reports-every");
+  scenario.reportedServers = static_cast<int>(rates.whole("reported"));
+  scenario.requestsPerSecond = rates.one("requests").number;
+  scenario.changesPerMinute = rates.one("changes-per-minute").number;
   const Section& run = top.block("run");
-  s.warmUp = run.micros("warm-up");
-  s.measurement = run.micros("measured");
-  s.settle = run.micros("settle");
-  s.maxProcesses = static_cast<int>(run.whole("processes"));
+  scenario.warmUp = run.micros("warm-up");
+  scenario.measurement = run.micros("measured");
+  scenario.settle = run.micros("settle");
+  scenario.maxProcesses = static_cast<int>(run.whole("processes"));
   if (const auto events = top.blocks.find("event"); events != top.blocks.end()) {
-    for (const Section& e : events->second) {
-      if (!e.given) continue;
-      s.events.push_back({parseEventKind(e.one("what").text), e.micros("at"),
-                          static_cast<int>(e.whole("count")), e.micros("back"), e.place});
+    for (const Section& event : events->second) {
+      if (!event.given) continue;
+      scenario.events.push_back({parseEventKind(event.one("what").text), event.micros("at"),
+                                 static_cast<int>(event.whole("count")), event.micros("back"), event.place});
     }
   }
-  std::stable_sort(s.events.begin(), s.events.end(),
+  std::stable_sort(scenario.events.begin(), scenario.events.end(),
                    [](const ScenarioEvent& a, const ScenarioEvent& b) { return a.at < b.at; });
-  checkCombinations(s, top, complaints);
+  checkCombinations(scenario, top, complaints);
   throwIfAny(complaints, file);
-  return s;
+  return scenario;
 }
 
 Scenario loadScenario(const std::string& path) {
@@ -245,12 +247,12 @@
 }
 
 void clampDependentSizes(Scenario& scenario) {
-  Sizes& s = scenario.sizes;
-  s.machines = std::min(s.machines, s.supervisors);
-  s.real = std::min(s.real, s.supervisors);
-  s.services = std::min(s.services, s.servers);
-  s.racks = std::min(s.racks, s.servers);
-  s.regions = std::min(s.regions, s.zones);
+  Sizes& sizes = scenario.sizes;
+  sizes.machines = std::min(sizes.machines, sizes.supervisors);
+  sizes.real = std::min(sizes.real, sizes.supervisors);
+  sizes.services = std::min(sizes.services, sizes.servers);
+  sizes.racks = std::min(sizes.racks, sizes.servers);
+  sizes.regions = std::min(sizes.regions, sizes.zones);
 }
 
 double variableValue(const Scenario& scenario, const std::string& variable) {
@@ -260,40 +262,42 @@
   return size == nullptr ? 0 : *size;
 }
 
-ResourceNeeds estimateNeeds(const Scenario& s) {
-  const std::int64_t supervisors = s.sizes.supervisors, servers = s.sizes.servers, zones = s.sizes.zones;
+ResourceNeeds estimateNeeds(const Scenario& scenario) {
+  const std::int64_t supervisors = scenario.sizes.supervisors, servers = scenario.sizes.servers,
+                     zones = scenario.sizes.zones;
   ResourceNeeds needs;
   // This process, discovery, the relay, the collectors and the control machines; then the supervisor
   // processes.
-  const int workers = 4 + s.sizes.machines;
-  needs.processes = workers + s.sizes.real;
+  const int workers = 4 + scenario.sizes.machines;
+  needs.processes = workers + scenario.sizes.real;
   const std::int64_t perSupervisor =
       kSupervisorBytes + servers * (kListedServerBytes + zones * kReportedServerBytes) +
-      s.sizes.proxies * kProxyBytes + (s.verifyLists ? servers * kVerifiedEntryBytes : 0);
+      scenario.sizes.proxies * kProxyBytes + (scenario.verifyLists ? servers * kVerifiedEntryBytes : 0);
   needs.memoryBytes =
-      workers * kProcessBytes + supervisors * perSupervisor + s.sizes.real * kSupervisorProcessBytes;
-  const std::int64_t perMachine = (supervisors + s.sizes.machines - 1) / s.sizes.machines;
+      workers * kProcessBytes + supervisors * perSupervisor + scenario.sizes.real * kSupervisorProcessBytes;
+  const std::int64_t perMachine = (supervisors + scenario.sizes.machines - 1) / scenario.sizes.machines;
   needs.descriptors = kBaseDescriptors + std::max({supervisors * std::max<std::int64_t>(zones, kPeerSockets),
                                                    perMachine * (zones + kPeerSockets)});
   return needs;
 }
 
-void checkFitsHost(const Scenario& s, const HostInfo& host) {
-  const ResourceNeeds needs = estimateNeeds(s);
+void checkFitsHost(const Scenario& scenario, const HostInfo& host) {
+  const ResourceNeeds needs = estimateNeeds(scenario);
   std::vector<op::Complaint> complaints;
   const auto megabytes = [](std::int64_t bytes) { return std::to_string(bytes >> 20) + " MB"; };
   if (needs.memoryBytes > host.memoryBytes / 2)
-    complaints.push_back({s.sizesPlace, "sizes", "a fleet of about " + megabytes(needs.memoryBytes),
+    complaints.push_back({scenario.sizesPlace, "sizes", "a fleet of about " + megabytes(needs.memoryBytes),
                           "no more than half of this host's memory, " + megabytes(host.memoryBytes / 2)});
-  if (needs.processes > s.maxProcesses)
-    complaints.push_back({s.sizesPlace, "sizes",
+  if (needs.processes > scenario.maxProcesses)
+    complaints.push_back({scenario.sizesPlace, "sizes",
                           "a fleet of " + std::to_string(needs.processes) + " processes",
-                          "no more than run.processes, " + std::to_string(s.maxProcesses)});
+                          "no more than run.processes, " + std::to_string(scenario.maxProcesses)});
   if (needs.descriptors > host.descriptors)
     complaints.push_back(
-        {s.sizesPlace, "sizes", "a process with " + std::to_string(needs.descriptors) + " file descriptors",
+        {scenario.sizesPlace, "sizes",
+         "a process with " + std::to_string(needs.descriptors) + " file descriptors",
          "no more than the limit of a process on this host, " + std::to_string(host.descriptors)});
-  throwIfAny(complaints, s.file);
+  throwIfAny(complaints, scenario.file);
 }
 
 }  // namespace peargrade::scale
