--- a/scale/fleet.cpp
+++ b/scale/fleet.cpp
@@ -18,14 +18,22 @@
 namespace {
 
 constexpr Micros kPollInterval = 20000;
-constexpr double kSocketGrace = 0.3;  // s; added to the configured limits, as the rules on sockets allow
-constexpr double kMaxRelayBacklog = 1 << 20;  // bytes; the relay disconnects slower readers
-constexpr double kMaxUnreadBytes =
-    128 << 10;                          // bytes; by the protocol, the connection of a slower reader is reset
-constexpr double kTimersPerSecond = 4;  // of the decision engine of each supervisor
-constexpr double kPaceLeast = 0.75;     // of kTimersPerSecond; with fewer, the host is too slow for the run
-constexpr Micros kMinPaceMeasurement = 2000000;  // shorter measurements have too few timers
-constexpr double kMaxUnreadPeriods = 3;          // reporting periods of a collector
+
+// Added to the configured limits, as the protocol's rules on sockets allow. Seconds.
+constexpr double kSocketGrace = 0.3;
+// The relay disconnects a reader with more unread data. Bytes.
+constexpr double kMaxRelayBacklog = 1 << 20;
+// By the protocol, a connection with more unread data is reset. Bytes.
+constexpr double kMaxUnreadBytes = 128 << 10;
+// Periods of load reports that may be unread at a supervisor.
+constexpr double kMaxUnreadPeriods = 3;
+
+// Timers of the decision engine of each supervisor at full pace.
+constexpr double kTimersPerSecond = 4;
+// Smallest share of kTimersPerSecond; with fewer timers the host is too slow for the run.
+constexpr double kPaceLeast = 0.75;
+// Shorter measurements have too few timers to judge the pace.
+constexpr Micros kMinPaceMeasurement = 2000000;
 
 net::Address loopbackAddress(double port) { return {"127.0.0.1", static_cast<std::uint16_t>(port)}; }
 
