--- a/src/discovery/catalog.cpp
+++ b/src/discovery/catalog.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::int64_t kMicrosPerMillisecond = 1000;
-constexpr std::int64_t kMillisecondsMax = INT64_MAX / kMicrosPerMillisecond;
+constexpr std::int64_t kMillisecondsMax = INT64_MAX / kMicrosPerMillisecond;  // fits in Micros
 
 Endpoint parseTarget(const wire::Fields& fields, const Names& names) {
   Endpoint endpoint;
@@ -20,7 +20,7 @@
                                                {"DELETED", EndpointState::Removed}});
   endpoint.zone = indexOf(names.zones, fields.text("az"));
   if (endpoint.zone < 0) wire::fail(fields.where(), "'az' is no zone of the settings");
-  // No decision depends on a kind that the settings do not name: it counts as the first one.
+  // An unknown kind is treated as the first configured one: no decision needs the exact kind.
   endpoint.kind = std::max(0, indexOf(names.kinds, fields.textOr("model", "")));
   return endpoint;
 }
--- a/src/discovery/catalog.h
+++ b/src/discovery/catalog.h
@@ -1,4 +1,5 @@
-/// Codec of discovery's JSON: the endpoint list and its changes. Reads only the fields that decisions need.
+/// Parser of the JSON that the discovery service sends: the full endpoint list and its deltas. Fields that no
+/// decision needs are ignored.
 #pragma once
 
 #include <string>
@@ -9,26 +10,26 @@
 
 namespace peargrade::discovery {
 
-/// The names that the protocols use where the decision module has an index from 0, in the order of the
-/// configuration's `settings`.
+/// Names of zones, server kinds and request classes, in the order of the configuration's `settings`. The
+/// protocols use the names; the decision module uses their zero-based indices.
 struct Names {
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
   std::vector<std::string> classes;
 };
 
-/// Index of `name` in `names`; -1 if it is not there.
+/// Zero-based index of `name` in `names`; -1 if `names` does not contain it.
 int indexOf(const std::vector<std::string>& names, const std::string& name);
 
-/// Reads one object {"rev":..,"all":..,"targets":[..]}. `where` is the place that errors name.
-/// Throws ParseError if a field is missing or invalid, or if a zone is not one of the settings.
+/// Parses one object {"rev":..,"all":..,"targets":[..]}. `where` names the input in error messages.
+/// Throws ParseError if a field is missing or invalid, or if a target's zone is not in `names`.
 EndpointListUpdate parseCatalog(const wire::Value& value, const Names& names, const std::string& where);
 
-/// The same from bytes. Throws ParseError also if they are not JSON.
+/// Same as above for serialized JSON. Also throws ParseError if `bytes` is not valid JSON.
 EndpointListUpdate parseCatalog(const std::string& bytes, const Names& names, const std::string& where);
 
-/// The socket address ("10.1.0.18:3000") of each target, in the order of the targets; "" where it has none.
-/// Throws ParseError.
+/// Socket address ("10.1.0.18:3000") of each target, in the order of `targets`; "" for a target without one.
+/// Throws ParseError if a field is missing or invalid.
 std::vector<std::string> parseSocketAddresses(const wire::Value& value, const std::string& where);
 
 }  // namespace peargrade::discovery
--- a/src/discovery/catalog_request.cpp
+++ b/src/discovery/catalog_request.cpp
@@ -11,14 +11,14 @@
 constexpr char kPath[] = "/catalog/members";
 constexpr Micros kMicrosPerSecond = 1000000;
 constexpr std::size_t kHeaderBytesMax = 16 << 10;
-constexpr std::size_t kReadAheadBytes = 64 << 10;  // in the input buffer, besides one complete response
-constexpr std::size_t kPieceBytes = 4096;
+constexpr std::size_t kReadAheadBytes = 64 << 10;  // input buffered beyond one maximum-size response
+constexpr std::size_t kReadBufferBytes = 4096;
 
 timeval toTimeval(Micros span) {
   return {static_cast<time_t>(span / kMicrosPerSecond), static_cast<suseconds_t>(span % kMicrosPerSecond)};
 }
 
-log::CloseReason toReason(evhttp_request_error error) {
+log::CloseReason toCloseReason(evhttp_request_error error) {
   switch (error) {
     case EVREQ_HTTP_TIMEOUT:
       return log::CloseReason::Silent;
@@ -45,7 +45,7 @@
       baseVersion_(query.version),
       connectTimeout_(base, [this] { checkConnected(); }),
       objectTimeout_(base, [this] {
-        if (!closed_) handlers_.timedOut(*this);
+        if (!closed_) handlers_.onTimeout(*this);
       }) {}
 
 void CatalogRequest::send() {
@@ -53,9 +53,9 @@
   evhttp_request* const request = makeRequest();
   connectTimeout_.schedule(limits_.connectTimeout);
   objectTimeout_.schedule(firstObjectTimeout_);
-  // libevent frees the request, also if this fails.
+  // libevent owns the request and frees it even if the call fails.
   if (evhttp_make_request(connection_.get(), request, EVHTTP_REQ_GET, path().c_str()) != 0)
-    fail(log::CloseReason::Refused, "");
+    reportFailure(log::CloseReason::Refused, "");
 }
 
 void CatalogRequest::close() {
@@ -71,31 +71,32 @@
   evhttp_connection_set_timeout_tv(connection_.get(), &idleTimeout);
   evhttp_connection_set_max_headers_size(connection_.get(), kHeaderBytesMax);
   evhttp_connection_set_max_body_size(connection_.get(), static_cast<ev_ssize_t>(limits_.responseBytesMax));
-  // libevent buffers a chunk's length or a trailer line without a bound, so the input buffer is bounded here.
-  // A read watermark cannot do it: libevent spins once it is reached.
+  // libevent buffers a chunk length or a trailer line without limit, so this callback limits the input
+  // buffer. A read watermark is not an option: libevent busy-loops once the watermark is reached.
   evbuffer_add_cb(
       bufferevent_get_input(evhttp_connection_get_bufferevent(connection_.get())),
       [](evbuffer* input, const evbuffer_cb_info*, void* context) {
         auto& self = *static_cast<CatalogRequest*>(context);
         if (evbuffer_get_length(input) > self.limits_.responseBytesMax + kReadAheadBytes)
-          self.fail(log::CloseReason::TooLong, "unbounded chunk length or trailer");
+          self.reportFailure(log::CloseReason::TooLong, "unbounded chunk length or trailer");
       },
       this);
 }
 
 evhttp_request* CatalogRequest::makeRequest() {
-  evhttp_request* const request =
-      evhttp_request_new([](evhttp_request* response,
-                            void* context) { static_cast<CatalogRequest*>(context)->complete(response); },
-                         this);
+  evhttp_request* const request = evhttp_request_new(
+      [](evhttp_request* response, void* context) {
+        static_cast<CatalogRequest*>(context)->handleResponse(response);
+      },
+      this);
   if (request == nullptr) throw std::bad_alloc();
   if (query_.kind == Kind::Watch) {
     evhttp_request_set_chunked_cb(request, [](evhttp_request* response, void* context) {
-      static_cast<CatalogRequest*>(context)->readWatch(response);
+      static_cast<CatalogRequest*>(context)->readWatchLines(response);
     });
   }
   evhttp_request_set_error_cb(request, [](evhttp_request_error error, void* context) {
-    static_cast<CatalogRequest*>(context)->connectionError_ = toReason(error);
+    static_cast<CatalogRequest*>(context)->connectionError_ = toCloseReason(error);
   });
   evhttp_add_header(evhttp_request_get_output_headers(request), "Host", address_.text().c_str());
   return request;
@@ -108,55 +109,60 @@
   return watch + "&since=" + std::to_string(query_.version);
 }
 
-// An address that neither accepts nor refuses a connection would else be noticed only after the idle timeout.
+// Without this check, a peer that neither accepts nor refuses the connection is detected only by the idle
+// timeout.
 void CatalogRequest::checkConnected() {
   if (closed_) return;
   sockaddr_in peer{};
   socklen_t size = sizeof peer;
   const evutil_socket_t socket = bufferevent_getfd(evhttp_connection_get_bufferevent(connection_.get()));
   if (socket >= 0 && getpeername(socket, reinterpret_cast<sockaddr*>(&peer), &size) == 0) return;
-  fail(log::CloseReason::ConnectTimeout, "");
+  reportFailure(log::CloseReason::ConnectTimeout, "");
 }
 
-void CatalogRequest::readWatch(evhttp_request* request) {
+void CatalogRequest::readWatchLines(evhttp_request* request) {
   evbuffer* const body = evhttp_request_get_input_buffer(request);
   if (closed_ || evhttp_request_get_response_code(request) != HTTP_OK) {
     evbuffer_drain(body, evbuffer_get_length(body));
     return;
   }
-  char piece[kPieceBytes];
+  char buffer[kReadBufferBytes];
   std::string line;
   while (evbuffer_get_length(body) > 0 && !closed_) {
-    const int size = evbuffer_remove(body, piece, sizeof piece);
+    const int size = evbuffer_remove(body, buffer, sizeof buffer);
     if (size <= 0) break;
-    lines_.add(piece, static_cast<std::size_t>(size));
+    lines_.add(buffer, static_cast<std::size_t>(size));
     while (!closed_ && lines_.next(line)) {
       objectTimeout_.schedule(limits_.idleTimeout);
-      if (!line.empty()) handlers_.object(*this, line);
+      if (!line.empty()) handlers_.onObject(*this, line);
     }
-    if (!closed_ && lines_.tooLong()) fail(log::CloseReason::TooLong, "line of the watch");
+    if (!closed_ && lines_.tooLong())
+      reportFailure(log::CloseReason::TooLong,
+                    "watch line exceeds " + std::to_string(limits_.objectBytesMax) + " bytes");
   }
 }
 
-// Called by libevent once the response is complete or, without a request or a status, the connection failed.
-void CatalogRequest::complete(evhttp_request* request) {
+// Called by libevent when the response is complete or the connection has failed. In the latter case `request`
+// is null or has status 0.
+void CatalogRequest::handleResponse(evhttp_request* request) {
   if (closed_) return;
   const int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
-  if (status == 0) return fail(connectionError_, "no response");
-  if (status != HTTP_OK) return fail(log::CloseReason::BadAnswer, "status " + std::to_string(status));
+  if (status == 0) return reportFailure(connectionError_, "connection ended before a response status");
+  if (status != HTTP_OK)
+    return reportFailure(log::CloseReason::BadAnswer, "status " + std::to_string(status));
   if (query_.kind == Kind::Watch) {
-    readWatch(request);  // a response that is not chunked arrives here, in one piece
-    return fail(log::CloseReason::PeerClosed, "watch ended");
+    readWatchLines(request);  // libevent delivers a response that is not chunked only here
+    return reportFailure(log::CloseReason::PeerClosed, "watch ended");
   }
   evbuffer* const body = evhttp_request_get_input_buffer(request);
   std::string json(evbuffer_get_length(body), '\0');
   evbuffer_copyout(body, json.data(), json.size());
-  handlers_.object(*this, json);
-  if (!closed_) handlers_.polled(*this);
+  handlers_.onObject(*this, json);
+  if (!closed_) handlers_.onPollCompleted(*this);
 }
 
-void CatalogRequest::fail(log::CloseReason reason, const std::string& detail) {
-  if (!closed_) handlers_.failed(*this, reason, detail);
+void CatalogRequest::reportFailure(log::CloseReason reason, const std::string& detail) {
+  if (!closed_) handlers_.onFailure(*this, reason, detail);
 }
 
 }  // namespace peargrade::discovery
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -6,7 +6,7 @@
 namespace peargrade::discovery {
 namespace {
 
-constexpr char kPeer[] = "discovery";  // in log lines and errors
+constexpr char kComponent[] = "discovery";  // in log lines and parse errors
 
 }  // namespace
 
@@ -23,9 +23,9 @@
       firstObjectTimeout_(limits.idleTimeout),
       reconnectBackoff_(limits.reconnectDelayMin, limits.reconnectDelayMax,
                         static_cast<std::uint64_t>(knownVersion)),
-      destroyTimer_(base, [this] { destroyClosed(); }),
+      destroyTimer_(base, [this] { destroyClosedRequests(); }),
       reconnectTimer_(base, [this] {
-        if (requests_.size() == 1 && active() != nullptr) begin(RequestKind::Watch);
+        if (requests_.size() == 1 && activeRequest() != nullptr) startRequest(RequestKind::Watch);
       }) {
   dispatcher_.onEndpointListRequest([this](auto request) { handleRequest(request); });
 }
@@ -33,7 +33,7 @@
 Discovery::~Discovery() {
   dispatcher_.onEndpointListRequest(nullptr);
   for (const CatalogRequest& request : requests_) {
-    if (!request.closed()) log_.ended(kPeer, request.address().text(), log::CloseReason::Stopping, "");
+    if (!request.closed()) log_.ended(kComponent, request.address().text(), log::CloseReason::Stopping, "");
   }
 }
 
@@ -42,12 +42,12 @@
   address_ = address;
   reconnectBackoff_.reset();
   reconnectTimer_.cancel();
-  CatalogRequest* const current = active();
+  CatalogRequest* const current = activeRequest();
   for (CatalogRequest& request : requests_) {
     if (&request != current)
       finish(request, log::CloseReason::Moved, "to " + address_.text(), Outcome::Completed);
   }
-  if (current != nullptr && current->kind() == RequestKind::Watch) begin(RequestKind::Watch);
+  if (current != nullptr && current->kind() == RequestKind::Watch) startRequest(RequestKind::Watch);
 }
 
 void Discovery::handleRequest(dispatch::Dispatcher::EndpointListRequest request) {
@@ -65,12 +65,12 @@
 
 void Discovery::requestList(RequestKind kind) {
   (kind == RequestKind::Watch ? watchPending_ : pollPending_) = true;
-  if (requests_.empty()) return beginPending();
-  const CatalogRequest* const current = active();
+  if (requests_.empty()) return startPendingRequest();
+  const CatalogRequest* const current = activeRequest();
   if (current == nullptr || current->kind() != RequestKind::Watch) return;
-  // A watch in progress gives way to the new request, and begins again after it.
+  // The new request replaces the watch in progress, which is started again afterwards.
   watchPending_ = true;
-  closeWatches("requested again");
+  closeWatches("superseded by a new request");
 }
 
 void Discovery::closeWatches(const std::string& detail) {
@@ -80,12 +80,12 @@
   }
 }
 
-void Discovery::beginPending() {
-  if (pollPending_) return begin(RequestKind::Poll);
-  if (watchPending_) begin(RequestKind::Watch);
+void Discovery::startPendingRequest() {
+  if (pollPending_) return startRequest(RequestKind::Poll);
+  if (watchPending_) startRequest(RequestKind::Watch);
 }
 
-void Discovery::begin(RequestKind kind) {
+void Discovery::startRequest(RequestKind kind) {
   (kind == RequestKind::Watch ? watchPending_ : pollPending_) = false;
   CatalogRequest::Query query;
   query.kind = kind;
@@ -93,36 +93,38 @@
   query.watchStart = fullListNeeded_ ? CatalogRequest::WatchStart::FullList
                                      : CatalogRequest::WatchStart::ChangesSinceVersion;
   CatalogRequest::Handlers handlers;
-  handlers.object = [this](CatalogRequest& request, const std::string& json) { receive(request, json); };
-  handlers.polled = [this](CatalogRequest& request) {
+  handlers.onObject = [this](CatalogRequest& request, const std::string& json) {
+    parseObject(request, json);
+  };
+  handlers.onPollCompleted = [this](CatalogRequest& request) {
     finish(request, log::CloseReason::Discarded, "list received", Outcome::Completed);
   };
-  handlers.timedOut = [this](CatalogRequest& request) { handleTimeout(request); };
-  handlers.failed = [this](CatalogRequest& request, log::CloseReason reason, const std::string& detail) {
+  handlers.onTimeout = [this](CatalogRequest& request) { handleTimeout(request); };
+  handlers.onFailure = [this](CatalogRequest& request, log::CloseReason reason, const std::string& detail) {
     finish(request, reason, detail, Outcome::Failed);
   };
   requests_.emplace_back(base_, address_, query, limits_, firstObjectTimeout_, std::move(handlers)).send();
 }
 
-CatalogRequest* Discovery::active() {
+CatalogRequest* Discovery::activeRequest() {
   const auto found = std::find_if(requests_.begin(), requests_.end(),
                                   [](const CatalogRequest& request) { return !request.closed(); });
   return found == requests_.end() ? nullptr : &*found;
 }
 
-void Discovery::receive(CatalogRequest& request, const std::string& json) {
+void Discovery::parseObject(CatalogRequest& request, const std::string& json) {
   try {
     rapidjson::Document document;
-    wire::parseJson(document, json, kPeer);
-    apply(request, document);
+    wire::parseJson(document, json, kComponent);
+    applyObject(request, document);
   } catch (const ParseError& error) {
     fullListNeeded_ = true;
     finish(request, log::CloseReason::BadMessage, error.what(), Outcome::Failed);
   }
 }
 
-void Discovery::apply(CatalogRequest& request, const wire::Value& object) {
-  EndpointListUpdate update = parseCatalog(object, names_, kPeer);
+void Discovery::applyObject(CatalogRequest& request, const wire::Value& object) {
+  EndpointListUpdate update = parseCatalog(object, names_, kComponent);
   if (update.kind == EndpointListKind::Delta && update.version < request.baseVersion()) {
     fullListNeeded_ = true;
     return finish(request, log::CloseReason::RevisionRegressed,
@@ -135,13 +137,13 @@
   fullListNeeded_ = false;
   request.setBaseVersion(update.version);
   dispatcher_.endpointListKnown();
-  // A successor may begin with changes that its predecessor has delivered meanwhile.
+  // The first deltas of a successor may repeat changes that its predecessor has already delivered.
   if (update.kind == EndpointListKind::Delta && update.version < version_) return;
   version_ = update.version;
-  log_.debug(kPeer) << "endpoint list version " << update.version << ", "
-                    << (update.kind == EndpointListKind::Full ? "full" : "delta") << " of "
-                    << update.endpoints.size() << " endpoints";
-  if (listener_) return listener_(std::move(update), parseSocketAddresses(object, kPeer));
+  log_.debug(kComponent) << "endpoint list version " << update.version << ", "
+                         << (update.kind == EndpointListKind::Full ? "full" : "delta") << " of "
+                         << update.endpoints.size() << " endpoints";
+  if (listener_) return listener_(std::move(update), parseSocketAddresses(object, kComponent));
   dispatcher_.post(std::move(update));
 }
 
@@ -152,8 +154,8 @@
   }
 }
 
-// libevent's own timeout starts again with every byte; this one demands a complete object. It grows, so that
-// a large list over a slow connection arrives at a later attempt.
+// libevent restarts its own timeout with every byte; this timeout requires a complete object. The timeout
+// grows so that a later attempt can receive a large list over a slow connection.
 void Discovery::handleTimeout(CatalogRequest& request) {
   firstObjectTimeout_ = std::min(2 * firstObjectTimeout_, limits_.firstObjectTimeoutMax);
   finish(request, log::CloseReason::Silent, "no complete line", Outcome::Failed);
@@ -162,20 +164,20 @@
 void Discovery::finish(CatalogRequest& request, log::CloseReason reason, const std::string& detail,
                        Outcome outcome) {
   if (request.closed()) return;
-  const bool isSuccessor = &request != active();
+  const bool isSuccessor = &request != activeRequest();
   request.close();
-  log_.ended(kPeer, request.address().text(), reason, detail);
-  destroyTimer_.schedule(0);  // libevent may be in a callback of this request
+  log_.ended(kComponent, request.address().text(), reason, detail);
+  destroyTimer_.schedule(0);  // not destroyed here: libevent may be running a callback of this request
   if (outcome == Outcome::Completed) return;
   if (isSuccessor) return reconnectTimer_.schedule(reconnectBackoff_.next());
-  if (active() != nullptr) return;  // its successor takes over
+  if (activeRequest() != nullptr) return;  // the successor is the active request now
   reconnectTimer_.cancel();
   dispatcher_.post(EndpointListUpdate{EndpointListKind::Failed, 0, {}});
 }
 
-void Discovery::destroyClosed() {
+void Discovery::destroyClosedRequests() {
   requests_.remove_if([](const CatalogRequest& request) { return request.closed(); });
-  if (requests_.empty()) beginPending();
+  if (requests_.empty()) startPendingRequest();
 }
 
 }  // namespace peargrade::discovery
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,4 +1,4 @@
-/// Client of the discovery service: keeps the endpoint list known by polls and watches of its catalog.
+/// Client of the discovery service: keeps the endpoint list up to date by polls and watches of its catalog.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +16,31 @@
 
 namespace peargrade::discovery {
 
-/// Serves the decision module's WatchEndpoints and PollEndpoints, and answers with EndpointListUpdate events:
-/// the list, its changes, or one `Failed` when the request that was in progress is lost. One request at a
-/// time; after a change of address the old one stays active until its successor has delivered.
+/// Executes the decision module's WatchEndpoints and PollEndpoints actions. Results are EndpointListUpdate
+/// events: the full list, its deltas, or one `Failed` when the request in progress fails. Runs one request at
+/// a time, except after an address change: the old watch stays active until its successor, a watch at
+/// the new address, has delivered its first object.
 class Discovery {
  public:
   using Limits = discovery::Limits;
 
-  /// `knownVersion`: version of the cached list, 0 if there is none. `names`, `dispatcher` and `log` outlive
-  /// it.
+  /// `knownVersion`: version of the cached list, 0 if there is none. `names`, `dispatcher` and `log` must
+  /// outlive the client.
   Discovery(event_base* base, const net::Address& address, const Names& names, std::int64_t knownVersion,
             dispatch::Dispatcher& dispatcher, log::Log& log, Limits limits);
   ~Discovery();
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  /// Receives each update, with the socket address of each of its endpoints in their order ("" where it has
-  /// none).
+  /// Receives each update and the socket addresses of its endpoints, in the same order; "" for an endpoint
+  /// without one.
   using Listener = std::function<void(EndpointListUpdate, std::vector<std::string> socketAddresses)>;
-  /// Updates go to the listener instead of the dispatcher from now on: to the membership, which merges
-  /// several sources. `Failed` still goes to the dispatcher.
+  /// Sends further updates to `listener` instead of the dispatcher, so that the membership can merge them
+  /// with other sources. `Failed` still goes to the dispatcher.
   void setListener(Listener listener) { listener_ = std::move(listener); }
 
-  /// Discovery has another address from now on. Make before break: an open watch stays active until the one
-  /// at the new address has delivered its first object.
+  /// Switches to another address of the discovery service. Make before break: an open watch stays
+  /// active until its successor at `address` has delivered its first object.
   void moveTo(const net::Address& address);
 
  private:
@@ -49,35 +50,41 @@
   void handleRequest(dispatch::Dispatcher::EndpointListRequest request);
   void requestList(RequestKind kind);
   void closeWatches(const std::string& detail);
-  void beginPending();
-  void begin(RequestKind kind);
-  /// The first request that is not closed; nullptr if there is none.
-  CatalogRequest* active();
+  void startPendingRequest();
+  void startRequest(RequestKind kind);
+  /// The first open request; nullptr if there is none.
+  CatalogRequest* activeRequest();
 
-  void receive(CatalogRequest& request, const std::string& json);
-  void apply(CatalogRequest& request, const wire::Value& object);
+  void parseObject(CatalogRequest& request, const std::string& json);
+  void applyObject(CatalogRequest& request, const wire::Value& object);
   void retirePredecessors(const CatalogRequest& successor);
   void handleTimeout(CatalogRequest& request);
-  /// Closes the request and logs why. After a failure of the active one without a successor the decision
-  /// module is notified; a successor that failed is tried again after a backoff.
+  /// Closes the request and logs the reason. If the active request failed and has no successor,
+  /// notifies the decision module. If a successor failed, schedules another attempt after a backoff.
   void finish(CatalogRequest& request, log::CloseReason reason, const std::string& detail, Outcome outcome);
-  void destroyClosed();
+  void destroyClosedRequests();
 
   event_base* base_;
   net::Address address_;
   const Names& names_;
-  std::int64_t version_;  // of the last update that was passed on
+  std::int64_t version_;  // of the last update that was delivered
   dispatch::Dispatcher& dispatcher_;
   log::Log& log_;
   const Limits limits_;
   Listener listener_;
 
-  std::list<CatalogRequest>
-      requests_;               // the active one, behind it its successor; closed ones until destroyed
-  bool watchPending_ = false;  // begins once the request in progress is over
+  /// The active request, then its successor if there is one. Closed requests remain until they are
+  /// destroyed.
+  std::list<CatalogRequest> requests_;
+  /// Whether a watch starts once the request in progress has ended.
+  bool watchPending_ = false;
+  /// Whether a poll starts once the request in progress has ended.
   bool pollPending_ = false;
-  bool fullListNeeded_ = false;  // the list known here does not fit discovery's changes
-  Micros firstObjectTimeout_;    // adaptive: doubles with each timeout, up to the limit
+  /// Whether the next watch requests the full list: the last object was invalid, or its delta did not
+  /// apply to the known list.
+  bool fullListNeeded_ = false;
+  /// Doubles with each timeout, up to the limit.
+  Micros firstObjectTimeout_;
   net::Backoff reconnectBackoff_;
   net::Timer destroyTimer_;
   net::Timer reconnectTimer_;
--- a/src/discovery/limits.h
+++ b/src/discovery/limits.h
@@ -1,4 +1,4 @@
-/// Bounds on what discovery may send and on how long it may take.
+/// Limits on the size and timing of responses of the discovery service.
 #pragma once
 
 #include <cstddef>
@@ -7,22 +7,23 @@
 
 namespace peargrade::discovery {
 
-/// Set by the supervisor from its memory budget; the rest are constants of the protocol. Times in
+/// The supervisor sets the sizes from its memory budget; the times follow from the protocol. Times are in
 /// microseconds, sizes in bytes.
 struct Limits {
-  /// Longest pause between two complete lines of a watch. Discovery writes an empty line every 2 s, and an
-  /// update counts as delivered after 6 s whether it arrived or not: a silent watch has to be noticed and
-  /// opened again within that time.
+  /// Longest pause between two complete lines of a watch. Discovery sends an empty line every 2 s. An update
+  /// counts as delivered after 6 s even if it did not arrive, so a silent watch must be detected and reopened
+  /// within 6 s.
   Micros idleTimeout = 3000000;
-  /// The adaptive timeout of a first line or of a polled list starts at `idleTimeout` and doubles up to this.
+  /// Maximum of the adaptive timeout for the first line of a watch or for a polled list. That timeout starts
+  /// at `idleTimeout` and doubles with each timeout.
   Micros firstObjectTimeoutMax = 12000000;
-  /// Discovery is in the same network.
+  /// Short, because discovery is in the same network.
   Micros connectTimeout = 500000;
-  /// One JSON object of a watch.
+  /// Size limit of one JSON object of a watch.
   std::size_t objectBytesMax = 4 << 20;
-  /// One response. A watch that has carried this much is opened again.
+  /// Size limit of one response. A watch that reaches it is closed and reopened.
   std::size_t responseBytesMax = 16 << 20;
-  /// Backoff of connection attempts to a new address while the watch at the old one is still active.
+  /// Range of the backoff between attempts to connect to a new address while the old watch is still active.
   Micros reconnectDelayMin = 20000;
   Micros reconnectDelayMax = 250000;
 };
--- a/tests/discovery/address_change_test.cpp
+++ b/tests/discovery/address_change_test.cpp
@@ -1,4 +1,4 @@
-// A new configuration gives discovery another address while a watch is open.
+// The address of discovery changes while a watch is open.
 #include <gtest/gtest.h>
 
 #include "discovery_fixture.h"
@@ -8,7 +8,7 @@
 
 class AddressChange : public DiscoveryTest {
  protected:
-  /// Watches the service that the fixture starts with.
+  /// Opens a watch on `service`, which has the old address.
   void watchOld(std::int64_t knownVersion = 0) {
     service.set("s1", "a", "SERVING");
     start(knownVersion);
@@ -41,7 +41,7 @@
   EXPECT_TRUE(log.has("code=moved"));
 }
 
-// A successor may begin with a list older than what the old watch has delivered.
+// The successor's first list may be older than what the old watch has delivered.
 TEST_F(AddressChange, SuccessorBehindTheOldWatchChangesNothing) {
   fakes::Discovery next{loop.base.get()};
   next.set("s1", "a", "SERVING");
@@ -77,10 +77,10 @@
   ASSERT_TRUE(until([&] { return next->watching() == 1; })) << "requests go to the new address";
 }
 
-class AddressChangeByHand : public ManualDiscoveryTest {};
+class AddressChangeManual : public ManualDiscoveryTest {};
 
-// Both end in the same turn of the loop, in either order.
-TEST_F(AddressChangeByHand, WatchAndSuccessorThatEndTogetherAreOneFailure) {
+// Both connections are reset in the same iteration of the event loop, in either order.
+TEST_F(AddressChangeManual, WatchAndSuccessorThatEndTogetherAreOneFailure) {
   for (const bool successorFirst : {false, true}) {
     events.events.clear();
     fakes::ManualServer next;
--- a/tests/discovery/catalog_test.cpp
+++ b/tests/discovery/catalog_test.cpp
@@ -1,4 +1,4 @@
-// The codec of discovery's JSON.
+// Parser of the JSON that the discovery service sends.
 #include "discovery/catalog.h"
 
 #include <gtest/gtest.h>
--- a/tests/discovery/discovery_fixture.h
+++ b/tests/discovery/discovery_fixture.h
@@ -1,5 +1,5 @@
-/// Fixtures with a Discovery client on a real event loop: against a fake discovery service, or against a peer
-/// that the test plays byte by byte.
+/// Fixtures that run a Discovery client on a real event loop, against a fake discovery service or against a
+/// server whose response bytes the test sends itself.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 namespace peargrade::discovery {
 
-/// A full list of one endpoint.
+/// A full list with one endpoint.
 inline const std::string kFullList =
     R"({"rev":41,"all":true,"targets":[{"uid":"s-5be2a07c","endpoint":"10.1.0.18:3000","az":"b",)"
     R"("model":"m2","pod_group":3,"state":"DRAINING","capacity_hint":1.5,"boot_ms":1764600000123}]})";
@@ -35,7 +35,7 @@
                                             *log.log, limits);
   }
   void request(Action action) { dispatcher.dispatch({std::move(action)}); }
-  /// Watches, and waits until `expected` updates have arrived in all.
+  /// Requests a watch and waits until `expected` updates have arrived in total.
   bool watchUntil(std::size_t expected) {
     request(WatchEndpoints{true});
     return untilUpdates(expected);
@@ -66,7 +66,7 @@
   std::unique_ptr<Discovery> discovery;
 };
 
-/// The service's side is written by the test.
+/// The test sends the bytes of the service's responses itself.
 class ManualDiscoveryTest : public DiscoveryTest {
  protected:
   static inline const std::string kHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -92,7 +92,7 @@
       return peer && peer->read().find("\r\n\r\n") != std::string::npos;
     }));
   }
-  /// Sends `bytes` again and again until the request fails.
+  /// Sends `bytes` every 20 ms until the request fails.
   bool trickleUntilFailure(const std::string& bytes) {
     Pace pace{20000};
     return until([&] {
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Polls and watches of the endpoint list, and how they fail.
+// Polls and watches of the endpoint list, and their failures.
 #include "discovery/discovery.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
   service.set("s1", "a", "SERVING");
   service.set("s2", "b", "SERVING");
   start(1);
-  EXPECT_TRUE(service.requests.empty()) << "nothing is requested before the decision module does";
+  EXPECT_TRUE(service.requests.empty()) << "no request is sent before the decision module asks for one";
   ASSERT_TRUE(watchUntil(1));
   EXPECT_EQ(service.requests.at(0), "/catalog/members?follow=1&since=1");
   EXPECT_EQ(updates()[0].kind, EndpointListKind::Delta);
@@ -96,7 +96,7 @@
   }
 }
 
-// A service that vanishes without a reset: its empty lines stop.
+// A service that disappears without a TCP reset stops sending empty lines.
 TEST_F(DiscoveryTest, SilentWatchFailsAfterTheIdleTimeout) {
   service.set("s1", "a", "SERVING");
   service.emptyLines = false;
@@ -111,7 +111,7 @@
   EXPECT_EQ(updates()[2].kind, EndpointListKind::Failed);
 }
 
-// Its changes build on a list that is not the one known here.
+// The deltas of a service with a lower revision do not apply to the cached list.
 TEST_F(DiscoveryTest, RegressedRevisionRequestsTheFullList) {
   service.rev = 50;
   service.set("s1", "a", "SERVING");
@@ -140,7 +140,7 @@
   EXPECT_TRUE(log.has("code=too-long"));
 }
 
-TEST_F(DiscoveryTest, CancelledWatchIsNoFailure) {
+TEST_F(DiscoveryTest, CancelledWatchIsNotAFailure) {
   service.set("s1", "a", "SERVING");
   start();
   ASSERT_TRUE(watchUntil(1));
@@ -153,10 +153,10 @@
 TEST_F(DiscoveryTest, UnansweredConnectionAttemptFailsAfterTheConnectTimeout) {
   const Listener full(0);
   const sockaddr_in address = full.address.socket();
-  std::vector<int> fill;  // once the listener's queue is full, connection attempts hang
+  std::vector<int> queued;  // fill the listener's queue, so that further connection attempts hang
   for (int k = 0; k < 4; ++k) {
-    fill.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-    static_cast<void>(connect(fill.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address));
+    queued.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+    static_cast<void>(connect(queued.back(), reinterpret_cast<const sockaddr*>(&address), sizeof address));
   }
   Limits limits;
   limits.idleTimeout = 60000000;
@@ -165,15 +165,15 @@
   request(WatchEndpoints{true});
   ASSERT_TRUE(until([&] { return log.has("code=connect-timeout"); }));
   EXPECT_EQ(updates().back().kind, EndpointListKind::Failed);
-  for (const int descriptor : fill) close(descriptor);
+  for (const int descriptor : queued) close(descriptor);
 }
 
-// An update counts as delivered after 6 s, whether it arrived or not. A silent watch has to be noticed,
-// requested again (the decision module waits 0.5 s after a first failure) and connected, with time left for
-// the routes.
-TEST(DiscoveryLimits, SilentWatchIsBackInTimeToActWithinSixSeconds) {
+// An update counts as delivered after 6 s even if it did not arrive. Within that time a silent watch must be
+// detected, requested again (the decision module waits 0.5 s after a first failure) and connected, with 2 s
+// left to publish routes.
+TEST(DiscoveryLimits, SilentWatchIsReopenedWithTimeToPublishRoutes) {
   const Limits limits;
-  EXPECT_GT(limits.idleTimeout, 2500000) << "an empty line comes every 2 s";
+  EXPECT_GT(limits.idleTimeout, 2500000) << "discovery sends an empty line every 2 s";
   EXPECT_LE(limits.idleTimeout + 500000 + limits.connectTimeout, 4000000);
 }
 
--- a/tests/discovery/incomplete_response_test.cpp
+++ b/tests/discovery/incomplete_response_test.cpp
@@ -1,4 +1,4 @@
-// Responses that stop, trickle or end at any byte.
+// Responses that stall, arrive byte by byte or end at any byte.
 #include <gtest/gtest.h>
 
 #include "discovery_fixture.h"
@@ -8,7 +8,7 @@
 
 class IncompleteResponse : public ManualDiscoveryTest {};
 
-// Bytes without a complete line reset libevent's own timeout.
+// Every byte restarts libevent's own timeout, so that timeout does not detect a line that never ends.
 TEST_F(IncompleteResponse, WatchThatTricklesWithoutACompleteLineTimesOut) {
   startManual(150000);
   peer->send(kHeader + fullListChunk());
@@ -20,7 +20,7 @@
   ASSERT_TRUE(until([&] { return lastIsFull(); })) << "the next request is answered";
 }
 
-TEST_F(IncompleteResponse, EmptyLinesKeepAWatchAlive) {
+TEST_F(IncompleteResponse, EmptyLinesKeepAWatchOpen) {
   startManual(150000);
   peer->send(kHeader + fullListChunk());
   const Micros end = net::steadyNow() + 450000;
@@ -46,7 +46,7 @@
   EXPECT_TRUE(log.has("code=silent")) << log.text;
 }
 
-// A list that no fixed timeout would let through: the timeout grows with each attempt.
+// The list takes longer than the initial timeout. It arrives because the timeout grows with each attempt.
 TEST_F(IncompleteResponse, ListOverASlowConnectionArrivesAtALaterAttempt) {
   startManual(100000);
   const std::string response = kHeader + fullListChunk();
@@ -54,7 +54,7 @@
     std::size_t sent = 0;
     const Micros begin = net::steadyNow();
     ASSERT_TRUE(until([&] {
-      // All of it within 250 ms, byte by byte.
+      // The complete response takes 250 ms, byte by byte.
       const auto due = static_cast<std::size_t>(net::steadyNow() - begin) * response.size() / 250000;
       for (; sent < std::min(due, response.size()); ++sent) peer->send(response.substr(sent, 1));
       return failures() == attempt || lastIsFull();
@@ -65,8 +65,8 @@
   ADD_FAILURE() << "timed out four times";
 }
 
-// Wherever a response ends, in order or by a reset: one failure is reported, no part of the response is, and
-// the next request is sent.
+// Wherever the connection ends, by a close or a reset, the client reports exactly one failure and no part of
+// the response, and sends the next request.
 TEST_F(IncompleteResponse, EndAtAnyByteIsOneFailure) {
   const std::string line = fullListChunk();
   const std::string halfObject = chunk(kFullList.substr(0, 50));
@@ -79,10 +79,10 @@
       {"after a chunk's length", kHeader + "a5\r\n"},
       {"in a chunk", kHeader + line.substr(0, line.size() / 2)},
       {"in a line, after a complete chunk", kHeader + halfObject},
-      {"in order, half an object", kHeader + halfObject + "0\r\n\r\n"},
-      {"in order, no object", kHeader + "0\r\n\r\n"},
+      {"last chunk after half an object", kHeader + halfObject + "0\r\n\r\n"},
+      {"last chunk without an object", kHeader + "0\r\n\r\n"},
       {"empty", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"},
-      {"no length at all", "HTTP/1.1 200 OK\r\n\r\n"},
+      {"neither a length nor chunks", "HTTP/1.1 200 OK\r\n\r\n"},
       {"not HTTP", "* attach 1 a 1 1\r\n"},
       {"invalid chunk length", kHeader + "zz\r\n"},
   };
@@ -94,8 +94,8 @@
       byReset ? peer->reset() : peer->close();
       ++failed;
       ASSERT_TRUE(until([&] { return failures() == failed; })) << where;
-      EXPECT_EQ(updates().size(), failed) << where << ": nothing else is reported";
-      EXPECT_EQ(log.count(" ended code="), failed) << where << ": one line\n" << log.text;
+      EXPECT_EQ(updates().size(), failed) << where << ": no other update is reported";
+      EXPECT_EQ(log.count(" ended code="), failed) << where << ": one log line per failure\n" << log.text;
       requestAndAccept();
     }
   }
@@ -103,8 +103,8 @@
   ASSERT_TRUE(until([&] { return lastIsFull(); }));
 }
 
-// A chunk length that never ends: libevent buffers it without a bound.
-TEST_F(IncompleteResponse, UnboundedBytesAreCutOffAtTheMemoryLimit) {
+// libevent buffers a chunk length that never ends without limit.
+TEST_F(IncompleteResponse, UnboundedChunkLengthFailsAtTheMemoryLimit) {
   Limits limits;
   limits.idleTimeout = 10000000;
   limits.responseBytesMax = 256 << 10;
