--- a/src/membership/address_state.cpp
+++ b/src/membership/address_state.cpp
@@ -13,7 +13,7 @@
     }
     record = listed;
   } else if (asOf == lastListed) {
-    // Of two responses from the same moment the better values count, in whichever order they come.
+    // For two responses of the same time, use the better values regardless of the order of arrival.
     record.expiresAt = std::max(record.expiresAt, listed.expiresAt);
     if (std::tuple(listed.priority, -listed.weight) < std::tuple(record.priority, -record.weight)) {
       record.priority = listed.priority;
@@ -60,6 +60,6 @@
   return earliest;
 }
 
-bool AddressState::drains(Micros startedAt) const { return drainedAt != 0 && startedAt <= drainedAt; }
+bool AddressState::drainAppliesTo(Micros startedAt) const { return drainedAt != 0 && startedAt <= drainedAt; }
 
 }  // namespace peargrade::membership
--- a/src/membership/address_state.h
+++ b/src/membership/address_state.h
@@ -1,4 +1,5 @@
-/// What is known of one socket address: by each source of records, and by the authorities over it.
+/// State of one socket address: what each source of records reports, and drains and removals by
+/// sources with authority.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +11,13 @@
 
 namespace peargrade::membership {
 
-/// What one source of records reports of one address. Times are those of the observations (`asOf`) unless a
-/// comment says otherwise; 0 means never.
+/// What one source of records reports about one address. Times are those of the observations (`asOf`) unless
+/// a comment names the clock; 0 means never.
 struct RecordView {
   enum class Presence {
     Absent,       // not listed yet, or removed
-    Listed,       // by the source's last observation of it
-    Unconfirmed,  // a complete response left it out; a second one or the deadline removes it
+    Listed,       // listed by the source's last response that covers it
+    Unconfirmed,  // left out by a complete response; a second one or the deadline removes it
   };
 
   explicit RecordView(std::size_t source) : source(source) {}
@@ -25,71 +26,76 @@
   bool isUnconfirmed() const { return presence == Presence::Unconfirmed; }
   bool hasExpired(Micros now) const { return record.expiresAt <= now; }
 
-  /// The source lists it. `completeBefore`: the source's last complete response from before `asOf`.
+  /// Records that the source listed the address. `completeBefore`: time of the source's last complete
+  /// response before `asOf`; 0 if there is none.
   void refresh(const ServiceRecord& listed, Micros asOf, Micros completeBefore);
-  /// A complete response left it out; that takes effect at `deadline` (by the clock) without a second one.
+  /// Records that a complete response left out the address. Without a second response the removal may begin
+  /// at `deadline` (clock).
   void awaitConfirmation(Micros asOf, Micros deadline);
+  /// Records the removal of the address by the observation at `asOf`.
   void remove(Micros asOf);
 
   const std::size_t source;
   Presence presence = Presence::Absent;
+  /// Last observation that listed the address.
   Micros lastListed = 0;
-  /// First observation that listed it since it was absent.
+  /// First observation that listed the address after it was absent.
   Micros appearedAt = 0;
-  /// Last complete response without it, before it appeared.
+  /// Last complete response without the address, before `appearedAt`.
   Micros absentAt = 0;
-  /// Observation that left it out or removed it; 0 while it is listed.
+  /// Observation that left out or removed the address; 0 while it is listed.
   Micros leftOutAt = 0;
-  /// While unconfirmed, by the clock.
+  /// When an unconfirmed removal may begin (clock); 0 unless unconfirmed.
   Micros confirmationDeadline = 0;
-  /// As last listed.
+  /// The record as last listed.
   ServiceRecord record;
 };
 
-/// Removal of an address by a source with authority. In force until the server is seen to have restarted.
+/// Removal of an address by a source with authority. In force until a restart of the server is observed.
 struct Removal {
-  enum class By { Nobody, Roster, Records };
+  enum class By { None, Roster, Records };
 
-  bool happened() const { return by != By::Nobody; }
+  bool happened() const { return by != By::None; }
   bool isInForce() const { return happened() && !restarted; }
 
-  By by = By::Nobody;
+  /// Source that removed the address.
+  By by = By::None;
   Micros at = 0;
-  /// It was listed again after a restart.
+  /// Whether the server was listed again after a restart.
   bool restarted = false;
 };
 
-/// One socket address. Written by Membership only.
+/// State of one socket address. Only Membership modifies it.
 struct AddressState {
   explicit AddressState(std::size_t sources);
 
-  /// Whether any source of records lists it.
+  /// Whether any source of records lists the address.
   bool isPresent() const;
-  /// When records first listed it after the removal, if a complete response in between was without it; 0:
-  /// never.
+  /// When records first listed the address after the removal. Requires a complete response in between that
+  /// did not list it; 0 if there is none.
   Micros restartedAt() const;
-  /// Whether records with authority drain the server that started then.
-  bool drains(Micros startedAt) const;
+  /// Whether the drain by records with authority applies to a server process that started at `startedAt`.
+  bool drainAppliesTo(Micros startedAt) const;
 
-  /// By source.
+  /// One view per source of records.
   std::vector<RecordView> views;
-  /// Servers of the roster at this address.
+  /// Roster servers at this address.
   std::set<ServerId> rosterServers;
 
   Removal removal;
-  /// When records with authority drained it; 0: they do not.
+  /// When records with authority drained the server; 0: not drained.
   Micros drainedAt = 0;
-  /// Start of the server that only records list.
+  /// Start of the server, if only records list it.
   Micros startedAt = 0;
-  /// Observation by which the last source dropped it; 0: it never was absent.
+  /// Last observation after which no source of records listed the address; 0: it was never absent.
   Micros absentSince = 0;
-  /// When an absent address is forgotten, by the clock; 0: not set.
+  /// When an absent address is deleted (clock); 0: not set.
   Micros forgetAt = 0;
-  /// Published as draining because its tier is no longer needed.
+  /// Whether the server is published as draining because its tier is no longer needed.
   bool drainedByTier = false;
-  /// When it was listed again after an absence, within the flap window.
-  std::vector<Micros> returns;
-  /// Its place in the EvaluationSchedule; 0: none.
+  /// Times within the flap window at which the server was listed again after an absence (clock).
+  std::vector<Micros> returnTimes;
+  /// When EvaluationSchedule evaluates the address (clock); 0: not scheduled.
   Micros evaluateAt = 0;
 };
 
--- a/src/membership/evaluation_schedule.h
+++ b/src/membership/evaluation_schedule.h
@@ -1,4 +1,4 @@
-/// When something about an address or a tier changes by the passing of time alone.
+/// Schedule of the changes of addresses and tiers that occur without an observation, by time alone.
 #pragma once
 
 #include <optional>
@@ -11,23 +11,26 @@
 
 namespace peargrade::membership {
 
-/// Times in microseconds. An address has one place at most, which AddressState::evaluateAt holds.
+/// Times are in microseconds. An address has at most one scheduled time, stored in AddressState::evaluateAt.
 class EvaluationSchedule {
  public:
   struct Due {
     std::vector<std::string> addresses;
+    /// Whether a recount of the tiers is due.
     bool tiers = false;
   };
 
-  /// Evaluates the address at `at`, unless it is evaluated earlier anyway. `at` 0: never.
+  /// Schedules the address at `at` unless it is already scheduled earlier. Does nothing if `at` is 0.
+  /// `evaluateAt`: scheduled time of the address, updated here.
   void schedule(const std::string& address, Micros& evaluateAt, Micros at);
+  /// Removes the address from the schedule and sets `evaluateAt` to 0.
   void cancel(const std::string& address, Micros& evaluateAt);
-  /// Counts the tiers again at `at`.
+  /// Schedules a recount of the tiers at `at`.
   void scheduleTiers(Micros at) { tiers_.insert(at); }
 
-  /// Takes out what is due. The caller resets `evaluateAt` of the addresses.
+  /// Removes and returns the entries due at `now`. The caller resets `evaluateAt` of the addresses.
   Due takeDue(Micros now);
-  /// The earliest time; nothing if nothing is scheduled.
+  /// The earliest scheduled time; nullopt if there is none.
   std::optional<Micros> next() const;
 
  private:
--- a/src/membership/explain.cpp
+++ b/src/membership/explain.cpp
@@ -1,18 +1,18 @@
-// Membership: the list for people, each server with what every source says of it and the rule that decides.
+// Membership: explanation of the list, with the deciding rule and the reports of all sources for each server.
 #include "membership/membership.h"
 
 namespace peargrade::membership {
 namespace {
 
-std::string presenceText(const RecordView& view, Micros now) {
-  if (view.isUnconfirmed()) return "left out, second answer awaited";
+std::string formatPresence(const RecordView& view, Micros now) {
+  if (view.isUnconfirmed()) return "left out, awaiting a second response";
   return view.hasExpired(now) ? "expired" : "listed";
 }
 
-std::string viewText(const RecordView& view, Micros now) {
+std::string formatView(const RecordView& view, Micros now) {
   if (!view.isPresent()) return view.lastListed == 0 ? "never listed" : "not listed";
   const ServiceRecord& record = view.record;
-  return presenceText(view, now) + " as " + record.target + " priority " + std::to_string(record.priority) +
+  return formatPresence(view, now) + " as " + record.target + " priority " + std::to_string(record.priority) +
          " weight " + std::to_string(static_cast<int>(record.weight));
 }
 
@@ -21,10 +21,10 @@
 std::vector<Explanation> Membership::explain(Micros now) const {
   std::vector<Explanation> all;
   for (const auto& [server, entry] : known_.roster)
-    all.push_back(explainServer(server, entry.address, rules_.byRoster(server, entry, now), now));
+    all.push_back(explainServer(server, entry.address, rules_.desiredByRoster(server, entry, now), now));
   for (const auto& [address, state] : known_.addresses) {
     if (state.rosterServers.empty())
-      all.push_back(explainServer(address, address, rules_.byRecords(address, state, now), now));
+      all.push_back(explainServer(address, address, rules_.desiredByRecords(address, state, now), now));
   }
   return all;
 }
@@ -50,7 +50,7 @@
   if (found == known_.addresses.end()) return explanation;
   const AddressState& state = found->second;
   if (explanation.roster.empty() && state.removal.by == Removal::By::Roster) explanation.roster = "gone";
-  for (const RecordView& view : state.views) explanation.records.push_back(viewText(view, now));
+  for (const RecordView& view : state.views) explanation.records.push_back(formatView(view, now));
   return explanation;
 }
 
--- a/src/membership/known_servers.h
+++ b/src/membership/known_servers.h
@@ -1,4 +1,4 @@
-/// Everything the sources have reported, merged by socket address.
+/// State reported by all sources: the roster, and the records merged by socket address.
 #pragma once
 
 #include <map>
@@ -14,31 +14,35 @@
 namespace peargrade::membership {
 
 enum class RosterStatus {
-  NotConfigured,  // records are the only sources
-  Awaited,        // not received since the start
+  NotConfigured,  // all sources are sources of records
+  Awaited,        // not received since the program started
   Received,
 };
 
-/// One source of records. Times are those of its observations.
+/// One source of records. Times are those of its observations (`asOf`); 0 means never.
 struct RecordSource {
-  /// The last complete response from before `asOf`; 0 if there is none.
-  Micros completeBefore(Micros asOf) const { return lastComplete < asOf ? lastComplete : previousComplete; }
-  void completedAt(Micros asOf) {
+  /// Time of the last complete response before `asOf`; 0 if there is none.
+  Micros lastCompleteBefore(Micros asOf) const {
+    return lastComplete < asOf ? lastComplete : previousComplete;
+  }
+  /// Records that a complete response was applied.
+  void recordComplete(Micros asOf) {
     if (asOf > lastComplete) previousComplete = std::exchange(lastComplete, asOf);
-    hasCompleted = true;
+    hasCompleteResponse = true;
   }
 
-  /// Whether it decides over drains and removals, as the roster does.
+  /// Whether its drains and removals take precedence over other sources, as those of the roster do.
   bool authority = false;
-  /// Whether it has sent a complete response.
-  bool hasCompleted = false;
+  /// Whether a complete response has been applied.
+  bool hasCompleteResponse = false;
+  /// Time of the last complete response.
   Micros lastComplete = 0;
-  /// The last one from another moment.
+  /// Time of the last complete response before `lastComplete`.
   Micros previousComplete = 0;
   SourceTiers tiers;
 };
 
-/// Written by Membership, read by ListingRules.
+/// Written by Membership and read by ListingRules.
 struct KnownServers {
   RosterStatus rosterStatus = RosterStatus::NotConfigured;
   /// When the program started.
--- a/src/membership/listing_rules.cpp
+++ b/src/membership/listing_rules.cpp
@@ -13,7 +13,8 @@
 
 }  // namespace
 
-DesiredState ListingRules::byRoster(const ServerId& server, const RosterEntry& entry, Micros now) const {
+DesiredState ListingRules::desiredByRoster(const ServerId& server, const RosterEntry& entry,
+                                           Micros now) const {
   DesiredState desired;
   desired.listed = true;
   desired.endpoint = entry.endpoint;
@@ -29,7 +30,7 @@
     desired.rule = Rule::RecordsGone;
     return desired;
   }
-  if (state.drains(startedAt)) {
+  if (state.drainAppliesTo(startedAt)) {
     desired.endpoint.state = EndpointState::Draining;
     desired.rule = Rule::RecordsDraining;
     return desired;
@@ -38,24 +39,24 @@
   if (view == nullptr) return desired;
   if (view->hasExpired(now) || view->isUnconfirmed()) desired.rule = Rule::RosterExpired;
   if (settings_.weightSource == WeightSource::Roster) return desired;
-  desired.endpoint.weight = weightOf(*view);
+  desired.endpoint.weight = relativeWeight(*view);
   applyTier(state, *view, published_.contains(server), desired);
   return desired;
 }
 
-DesiredState ListingRules::byRecords(const std::string& address, const AddressState& state,
-                                     Micros now) const {
+DesiredState ListingRules::desiredByRecords(const std::string& address, const AddressState& state,
+                                            Micros now) const {
   DesiredState desired;
   desired.endpoint.server = address;
   desired.rule = Rule::Roster;
-  if (!state.rosterServers.empty()) return desired;  // listed under the roster's name for it
+  if (!state.rosterServers.empty()) return desired;  // listed under its roster ID
   desired.rule = ruleWithoutRecords(state.removal);
   const RecordView* const view = bestView(state, now);
   if (view == nullptr) return desired;
   const Micros restartedAt = state.removal.happened() ? state.restartedAt() : 0;
   if (state.removal.isInForce() && restartedAt == 0) return desired;
   desired.endpoint.startedAt = std::max(state.startedAt, restartedAt);
-  desired.endpoint.weight = weightOf(*view);
+  desired.endpoint.weight = relativeWeight(*view);
   desired.endpoint.zone = view->record.zone;
   desired.endpoint.kind = view->record.kind;
   desired.endpoint.cell = view->record.cell;
@@ -63,7 +64,7 @@
   if (state.drainedAt != 0) {
     desired.endpoint.state = EndpointState::Draining;
     desired.rule = Rule::RecordsDraining;
-    desired.listed = published;  // a draining server takes no new load, so it is not added
+    desired.listed = published;  // a draining server accepts no new load, so it is not added
     return desired;
   }
   applyLifetime(state, *view, now, desired);
@@ -72,12 +73,12 @@
     applyTier(state, *view, published, desired);
     return desired;
   }
-  // A server on its way out is not added.
+  // A server that is about to leave is not added.
   if (desired.rule != Rule::Records && desired.rule != Rule::TakenBack) {
     desired.listed = false;
     return desired;
   }
-  if (const auto hold = holdBack(state, now)) {
+  if (const auto hold = findHold(state, now)) {
     desired.listed = false;
     desired.rule = hold->rule;
     desired.until = hold->until;
@@ -89,8 +90,9 @@
 
 const RecordView* ListingRules::bestView(const AddressState& state, Micros now) const {
   const auto rank = [now](const RecordView& view) {
-    const bool doubtful = view.isUnconfirmed() || view.hasExpired(now);
-    return std::tuple(doubtful, view.record.priority, -view.record.weight, -view.record.expiresAt);
+    const bool expiredOrUnconfirmed = view.isUnconfirmed() || view.hasExpired(now);
+    return std::tuple(expiredOrUnconfirmed, view.record.priority, -view.record.weight,
+                      -view.record.expiresAt);
   };
   const RecordView* best = nullptr;
   for (const RecordView& view : state.views) {
@@ -126,10 +128,10 @@
   if (state.rosterServers.empty()) return false;
   const bool rosterServerLeaves =
       std::any_of(state.rosterServers.begin(), state.rosterServers.end(), [&](const ServerId& server) {
-        return leavesByTier(byRoster(server, known_.roster.at(server), now).rule);
+        return leavesByTier(desiredByRoster(server, known_.roster.at(server), now).rule);
       });
   if (rosterServerLeaves) return true;
-  // An authority left it out, and no second response came in time.
+  // A source with authority left it out, and no second response arrived before the deadline.
   return std::any_of(state.views.begin(), state.views.end(), [&](const RecordView& view) {
     return known_.sources[view.source].authority && view.isUnconfirmed() && isOverdue(view, now);
   });
@@ -143,7 +145,7 @@
   if (state.drainedByTier) desired.endpoint.state = EndpointState::Draining;
 }
 
-// The rule by the record's lifetime, and by whether a second response is awaited.
+// Sets the rule and its end from the record's expiry and from whether a second response is awaited.
 void ListingRules::applyLifetime(const AddressState& state, const RecordView& view, Micros now,
                                  DesiredState& desired) const {
   if (isOverdue(view, now)) {
@@ -160,21 +162,22 @@
   }
 }
 
-// Why a server that is not published is not added yet, and until when.
-std::optional<ListingRules::Hold> ListingRules::holdBack(const AddressState& state, Micros now) const {
+// Returns why a server that is not published must not be added yet, and until when; nullopt if it may be
+// added.
+std::optional<ListingRules::Hold> ListingRules::findHold(const AddressState& state, Micros now) const {
   const Micros rosterDeadline = known_.startedAt + settings_.rosterStartupTimeout;
   if (known_.rosterStatus == RosterStatus::Awaited && now < rosterDeadline)
     return Hold{Rule::RosterAwaited, rosterDeadline};
-  const auto recentReturns = std::count_if(state.returns.begin(), state.returns.end(),
+  const auto recentReturns = std::count_if(state.returnTimes.begin(), state.returnTimes.end(),
                                            [&](Micros at) { return at > now - settings_.flapWindow; });
   if (recentReturns < settings_.flapReturnsMax) return std::nullopt;
   if (published_.readyCount() < settings_.minimumReady) return std::nullopt;
-  const Micros heldUntil = state.returns.back() + settings_.flapHoldTime;
+  const Micros heldUntil = state.returnTimes.back() + settings_.flapHoldTime;
   if (now >= heldUntil) return std::nullopt;
   return Hold{Rule::FlapHeld, heldUntil};
 }
 
-double ListingRules::weightOf(const RecordView& view) const {
+double ListingRules::relativeWeight(const RecordView& view) const {
   return known_.sources[view.source].tiers.relativeWeight(view.record);
 }
 
--- a/src/membership/listing_rules.h
+++ b/src/membership/listing_rules.h
@@ -1,4 +1,4 @@
-/// The rules of docs/membership.md: how a server should stand in the list, by all that is known of it.
+/// Rules of docs/membership.md: compute the desired state of a server in the list from the reported state.
 #pragma once
 
 #include <optional>
@@ -12,39 +12,43 @@
 
 namespace peargrade::membership {
 
-/// How a server should stand in the list.
+/// State that a server should have in the list.
 struct DesiredState {
   bool listed = false;
   Endpoint endpoint;
   Rule rule = Rule::Records;
-  /// When it changes by itself, in microseconds; 0: only by an observation.
+  /// When the state next changes without an observation, in microseconds; 0: it does not.
   Micros until = 0;
 };
 
-/// Reads what is known and what is published, and changes neither. Times in microseconds.
+/// Evaluates the rules without modifying any state. Times are in microseconds.
 class ListingRules {
  public:
-  /// All three outlive it.
+  /// All three arguments must outlive the object.
   ListingRules(const Settings& settings, const KnownServers& known, const PublishedList& published)
       : settings_(settings), known_(known), published_(published) {}
 
-  /// Of a server that the roster lists.
-  DesiredState byRoster(const ServerId& server, const RosterEntry& entry, Micros now) const;
-  /// Of the server at an address under which the roster lists none.
-  DesiredState byRecords(const std::string& address, const AddressState& state, Micros now) const;
+  /// Desired state of a server that the roster lists.
+  DesiredState desiredByRoster(const ServerId& server, const RosterEntry& entry, Micros now) const;
+  /// Desired state of the server that only records list at `address`. Not listed if the roster lists a server
+  /// at that address.
+  DesiredState desiredByRecords(const std::string& address, const AddressState& state, Micros now) const;
 
-  /// The view whose record counts: unexpired and confirmed first, then by priority, weight and lifetime.
-  /// nullptr if no source lists the address.
+  /// The view whose record determines the published values. Unexpired and confirmed views rank first, then
+  /// lower priority, higher weight and later expiry. nullptr if no source lists the address.
   const RecordView* bestView(const AddressState& state, Micros now) const;
+  /// Whether the tier of the view's record is in use.
   bool isTierInUse(const RecordView& view) const;
-  /// Whether its tier counts the server as usable: neither drained nor removed by an authority.
+  /// Whether the server counts as usable in its tier: no source with authority has drained or removed it.
   bool isUsable(const AddressState& state) const;
-  /// Past the stale retention, or unconfirmed past the deadline.
+  /// Whether the record is past the stale retention, or unconfirmed past the deadline.
   bool isOverdue(const RecordView& view, Micros now) const;
-  /// Whether the address leaves in a removal step. `desired`: its state by records.
+  /// Whether the address must wait for a removal step to leave the list. `desired`: its result of
+  /// desiredByRecords().
   bool awaitsRemovalStep(const AddressState& state, const DesiredState& desired, Micros now) const;
 
  private:
+  /// Reason and end of a delay before a server is listed.
   struct Hold {
     Rule rule;
     Micros until;
@@ -54,8 +58,8 @@
                  DesiredState& desired) const;
   void applyLifetime(const AddressState& state, const RecordView& view, Micros now,
                      DesiredState& desired) const;
-  std::optional<Hold> holdBack(const AddressState& state, Micros now) const;
-  double weightOf(const RecordView& view) const;
+  std::optional<Hold> findHold(const AddressState& state, Micros now) const;
+  double relativeWeight(const RecordView& view) const;
 
   const Settings& settings_;
   const KnownServers& known_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -25,17 +25,18 @@
 std::optional<MembershipUpdate> Membership::reconcile(Micros now) {
   MembershipUpdate update;
   evaluateChanged(now, update);
-  takeRemovalStep(now, update);
+  runRemovalStep(now, update);
   if (published_.readyCount() < settings_.minimumReady) {
     const std::set<std::string> held = flapHeld_;
     for (const std::string& address : held) evaluateAddress(address, now, update);
   }
   changedAddresses_.clear();
-  const bool anySourceHeard = known_.rosterStatus == RosterStatus::Received ||
-                              std::any_of(known_.sources.begin(), known_.sources.end(),
-                                          [](const RecordSource& source) { return source.hasCompleted; });
-  const bool fullListDue = fullListRequested_ && anySourceHeard;
-  if (update.decisions.empty() && !updateOwed_ && !fullListDue) return std::nullopt;
+  const bool anySourceReceived =
+      known_.rosterStatus == RosterStatus::Received ||
+      std::any_of(known_.sources.begin(), known_.sources.end(),
+                  [](const RecordSource& source) { return source.hasCompleteResponse; });
+  const bool fullListDue = fullListRequested_ && anySourceReceived;
+  if (update.decisions.empty() && !updateDue_ && !fullListDue) return std::nullopt;
   update.list.kind = fullListRequested_ ? EndpointListKind::Full : EndpointListKind::Delta;
   if (fullListRequested_) {
     update.list.endpoints.clear();
@@ -43,7 +44,7 @@
   }
   update.list.version = ++version_;
   fullListRequested_ = false;
-  updateOwed_ = false;
+  updateDue_ = false;
   return update;
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,9 +1,9 @@
-/// Merges several sources into one endpoint list: observations go in, updates of the list come out. Free of
-/// I/O, clock and threads; the rules stand in docs/membership.md.
+/// Merges several sources into one endpoint list: consumes observations and produces updates of the list.
+/// Does no I/O, reads no clock and uses no threads. docs/membership.md specifies the rules.
 ///
 /// There are two kinds of source. The roster (discovery) has authority over the state of a server. Records
-/// (DNS) only say that something is offered at an address until a time; records of a zone that this
-/// installation keeps itself may have authority as well.
+/// (DNS) state only that a service is offered at an address until they expire. Records of a zone that this
+/// installation manages itself may have authority too.
 #pragma once
 
 #include <cstddef>
@@ -26,67 +26,67 @@
 
 namespace peargrade::membership {
 
-/// A server that changed in the list, and the rule that decided it. Logged by its reader.
+/// A change of one server in the list, and the rule that caused it. The caller logs it.
 struct Decision {
   ServerId server;
   EndpointState state = EndpointState::Ready;
   Rule rule = Rule::Roster;
 };
 
-/// A change of the list for the decision module.
+/// An update of the list for the decision module.
 struct MembershipUpdate {
   EndpointListUpdate list;
-  /// For each server that changed, why.
+  /// One entry per server that changed.
   std::vector<Decision> decisions;
 };
 
-/// How a server stands in the list and what each source says of it, for `sources explain` and the log.
+/// State of a server in the list and in each source, for `sources explain` and the log.
 struct Explanation {
   std::string address;
   ServerId server;
   bool listed = false;
   EndpointState state = EndpointState::Removed;
   Rule rule = Rule::Roster;
-  /// When that changes by itself, in microseconds; 0: only by an observation.
+  /// When the state next changes without an observation, in microseconds; 0: it does not.
   Micros until = 0;
   Micros startedAt = 0;
   double weight = 1;
-  /// "ready", "draining", "gone" or "" if the roster never listed it.
+  /// State in the roster: "ready", "draining", "gone", or "" if the roster never listed the server.
   std::string roster;
-  /// By source of records, in words.
+  /// For each source of records, a description of what it reports.
   std::vector<std::string> records;
 };
 
-/// The list and all that is known of it. Called by sources::Sources in its event loop; times in microseconds
-/// of one clock, which never goes back between calls.
+/// Holds the observations of all sources and the list published from them. sources::Sources calls it from its
+/// event loop. Times are in microseconds of one clock that must not go backwards between calls.
 class Membership {
  public:
-  /// `authority`: for each source of records, whether it has any. `cached`: the list of the configuration.
-  /// With a roster it is published until the roster says otherwise; its servers do not count as started with
-  /// this program.
+  /// `authority`: for each source of records, whether it has authority. `cached`: the list of the
+  /// configuration. With a roster, `cached` stays published until the roster replaces it. Its servers keep
+  /// their start times.
   Membership(const Settings& settings, const std::vector<bool>& authority, bool hasRoster,
              const std::vector<RosterEntry>& cached, Micros now);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
   // ---- Observations ----
-  /// Takes over a full list or a delta of the roster; ignored without a roster or for any other kind.
+  /// Applies a full list or a delta of the roster. Does nothing for other kinds or without a roster.
   void applyRoster(EndpointListKind kind, const std::vector<RosterEntry>& entries, Micros now);
-  /// Takes over what a source of records reports; ignored if a complete response from later has been applied.
+  /// Applies an observation of a source of records, unless a later complete one has already been applied.
   void applyRecords(const Observation& observation, Micros now);
-  /// The next update carries the full list.
+  /// Makes the next update carry the full list.
   void requestFullList() { fullListRequested_ = true; }
 
   // ---- Decisions ----
-  /// What has changed in the list by now; nothing if nothing has.
+  /// Evaluates the rules at `now` and returns the resulting update; nullopt if there is none to publish.
   std::optional<MembershipUpdate> reconcile(Micros now);
-  /// When to reconcile without an observation; nothing: only after one.
+  /// When reconcile() is next due without a new observation; nullopt if it is not.
   std::optional<Micros> nextReconcile() const;
   std::vector<Explanation> explain(Micros now) const;
 
-  /// Whether a second response is awaited; the sources then ask sooner.
+  /// Whether a removal awaits a second response. The sources then query earlier.
   bool awaitsConfirmation() const;
-  /// Roster entries and records rejected since the start, as `serversMax` servers are known.
+  /// Number of roster entries and records rejected since the start because of `serversMax`.
   std::uint64_t rejectedServers() const { return rejectedServers_; }
   std::size_t listedCount() const { return published_.size(); }
   std::size_t readyCount() const { return published_.readyCount(); }
@@ -101,7 +101,7 @@
   // ---- records.cpp ----
   bool applyRecord(std::size_t source, const ServiceRecord& record, Micros asOf, bool warm);
   void applyAuthority(AddressState& state, const RecordView& view, const ServiceRecord& record);
-  void noteStart(AddressState& state, const ServiceRecord& record, Micros asOf, bool warm) const;
+  void updateStart(AddressState& state, const ServiceRecord& record, Micros asOf, bool warm) const;
   void applyAbsences(const Observation& observation, Micros now);
   bool removalCostsReadyServer(const std::string& address, const AddressState& state,
                                const RecordView& view) const;
@@ -113,14 +113,14 @@
   void evaluateAddress(const std::string& address, Micros now, MembershipUpdate& update);
   void evaluateRosterServer(const ServerId& server, Micros now, MembershipUpdate& update);
   void keepLastReady(const std::string& address, DesiredState& desired);
-  void countReturn(AddressState& state, Micros now) const;
+  void recordReturn(AddressState& state, Micros now) const;
   void scheduleEvaluations(const std::string& address, AddressState& state, const DesiredState& desired,
                            const RecordView* view, Micros now);
   void forgetIfAbsent(const std::string& address, AddressState& state, const RecordView* view, Micros now);
   void publish(const ServerId& server, const DesiredState& desired, MembershipUpdate& update);
   void withdraw(const ServerId& server, Rule rule, MembershipUpdate& update);
-  void takeRemovalStep(Micros now, MembershipUpdate& update);
-  void leave(const std::string& address, Micros now, MembershipUpdate& update);
+  void runRemovalStep(Micros now, MembershipUpdate& update);
+  void beginDeparture(const std::string& address, Micros now, MembershipUpdate& update);
   void markChanged(const std::string& address) { changedAddresses_.insert(address); }
   // ---- explain.cpp ----
   Explanation explainServer(const ServerId& server, const std::string& address, const DesiredState& desired,
@@ -130,22 +130,23 @@
   KnownServers known_;
   PublishedList published_;
   const ListingRules rules_{settings_, known_, published_};
-  /// Start of the cached servers, by address, until records drop them.
+  /// Start times of the cached servers by address, kept until no source of records lists the address.
   std::map<std::string, Micros> cachedStarts_;
 
-  /// To be evaluated at the next reconciliation.
+  /// Addresses and roster servers to evaluate at the next reconciliation.
   std::set<std::string> changedAddresses_;
   std::set<ServerId> changedRosterServers_;
   EvaluationSchedule schedule_;
   DepartureQueue departures_;
-  /// Addresses listed by KeepLeast, evaluated at each reconciliation.
+  /// Addresses listed by Rule::KeepLeast. Evaluated at each reconciliation.
   std::set<std::string> lastReady_;
-  /// Addresses held by FlapHeld, evaluated when too few servers are ready.
+  /// Addresses not listed because of Rule::FlapHeld. Evaluated when too few servers are ready.
   std::set<std::string> flapHeld_;
 
   bool fullListRequested_ = true;
-  /// The sources have confirmed the list: an update goes out even if nothing changed.
-  bool updateOwed_ = false;
+  /// Whether the next reconciliation publishes an update even if it changes nothing: a source has confirmed
+  /// the list.
+  bool updateDue_ = false;
   std::int64_t version_ = 0;
   std::uint64_t rejectedServers_ = 0;
 };
--- a/src/membership/observation.h
+++ b/src/membership/observation.h
@@ -1,4 +1,4 @@
-/// What the sources report to the membership: entries of the roster, and records of DNS. Times in
+/// Observations that the sources report to the membership: roster entries and DNS records. Times are in
 /// microseconds of the membership's clock.
 #pragma once
 
@@ -11,20 +11,20 @@
 
 namespace peargrade::membership {
 
-/// A server as the roster (discovery) lists it.
+/// A server listed by the roster (discovery).
 struct RosterEntry {
   Endpoint endpoint;
-  /// Socket address, "10.1.0.18:3000"; "" if the roster does not have it.
+  /// Socket address such as "10.1.0.18:3000"; "" if the roster does not state one.
   std::string address;
 };
 
-/// A server that SRV and address records list.
+/// A server listed by SRV and address records.
 struct ServiceRecord {
   /// Socket address. It identifies the server: two targets at one address are one server.
   std::string address;
-  /// Target of the SRV record, canonical.
+  /// Target of the SRV record, in canonical form.
   std::string target;
-  /// Priority of RFC 2782: the lowest tier is used first.
+  /// Priority of RFC 2782: servers of the lowest number are used first.
   int priority = 0;
   /// Weight of RFC 2782.
   double weight = 0;
@@ -32,25 +32,26 @@
   int zone = 0;
   int kind = 0;
   int cell = 0;
-  /// Ready or Draining. Counts only from a source with authority.
+  /// Ready or Draining. Ignored unless the source has authority.
   EndpointState state = EndpointState::Ready;
-  /// 0: not stated. Of a source without authority it counts only when the server is first listed.
+  /// Start of the server; 0: not stated. A source without authority sets it only when the server is first
+  /// listed.
   Micros startedAt = 0;
 };
 
-/// What one source of records reported at one moment.
+/// Response of one source of records.
 struct Observation {
   enum class Kind {
-    Complete,  // everything that is offered: what it leaves out is no longer offered
-    Partial,   // truncated or partly unreadable: what it leaves out is unknown
+    Complete,  // lists every offered server: one that it leaves out is no longer offered
+    Partial,   // truncated or partly unreadable: the state of servers that it leaves out is unknown
   };
   Kind kind = Kind::Partial;
   /// Index of the source.
   std::size_t source = 0;
-  /// When it was requested. An observation older than the last complete one is ignored.
+  /// When the response was requested. An observation older than the last complete one is ignored.
   Micros asOf = 0;
   std::vector<ServiceRecord> records;
-  /// Targets whose addresses are unknown: their servers do not count as left out.
+  /// Targets whose addresses could not be resolved. Their servers do not count as left out.
   std::set<std::string> unresolvedTargets;
 };
 
--- a/src/membership/publication.cpp
+++ b/src/membership/publication.cpp
@@ -1,4 +1,4 @@
-// Membership: from desired states to changes of the published list.
+// Membership: computes desired states and publishes the resulting changes of the list.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace peargrade::membership {
 namespace {
 
-bool isSame(const Endpoint& a, const Endpoint& b, double weightTolerance) {
+bool isEquivalent(const Endpoint& a, const Endpoint& b, double weightTolerance) {
   return a.startedAt == b.startedAt && a.cell == b.cell && a.zone == b.zone && a.kind == b.kind &&
          a.state == b.state && std::abs(a.weight - b.weight) <= weightTolerance * std::abs(a.weight);
 }
@@ -26,12 +26,12 @@
   if (due.tiers || !changedAddresses_.empty() || !changedRosterServers_.empty()) updateTiers(now);
   for (const ServerId& server : std::exchange(changedRosterServers_, {}))
     evaluateRosterServer(server, now, update);
-  // Additions before removals: whether a server is one of the last depends on all that are added.
+  // Additions come first, because whether a removed server is one of the last ready ones depends on them.
   std::vector<std::string> removals;
   for (const std::string& address : std::exchange(changedAddresses_, {})) {
     const auto found = known_.addresses.find(address);
     if (found == known_.addresses.end()) continue;
-    if (published_.contains(address) && !rules_.byRecords(address, found->second, now).listed)
+    if (published_.contains(address) && !rules_.desiredByRecords(address, found->second, now).listed)
       removals.push_back(address);
     else
       evaluateAddress(address, now, update);
@@ -46,7 +46,7 @@
   const RecordView* const view = rules_.bestView(state, now);
   if (view != nullptr && rules_.isTierInUse(*view)) state.drainedByTier = false;
   for (const ServerId& server : state.rosterServers) evaluateRosterServer(server, now, update);
-  DesiredState desired = rules_.byRecords(address, state, now);
+  DesiredState desired = rules_.desiredByRecords(address, state, now);
   const bool wasListed = published_.contains(address);
   if (desired.rule == Rule::FlapHeld)
     flapHeld_.insert(address);
@@ -58,7 +58,7 @@
     departures_.add(address, now);
   else
     departures_.remove(address);
-  if (!wasListed && desired.listed && state.absentSince != 0) countReturn(state, now);
+  if (!wasListed && desired.listed && state.absentSince != 0) recordReturn(state, now);
   publish(address, desired, update);
   scheduleEvaluations(address, state, desired, view, now);
   forgetIfAbsent(address, state, view, now);
@@ -67,10 +67,10 @@
 void Membership::evaluateRosterServer(const ServerId& server, Micros now, MembershipUpdate& update) {
   const auto found = known_.roster.find(server);
   if (found == known_.roster.end()) return withdraw(server, Rule::RosterGone, update);
-  publish(server, rules_.byRoster(server, found->second, now), update);
+  publish(server, rules_.desiredByRoster(server, found->second, now), update);
 }
 
-// A server that records would remove stays listed while it is one of the last.
+// Keeps a server listed that records would remove while it is one of the last ready servers.
 void Membership::keepLastReady(const std::string& address, DesiredState& desired) {
   lastReady_.erase(address);
   const bool removedByRecords = desired.rule == Rule::Removed || desired.rule == Rule::RecordsGone;
@@ -82,12 +82,12 @@
   lastReady_.insert(address);
 }
 
-void Membership::countReturn(AddressState& state, Micros now) const {
+void Membership::recordReturn(AddressState& state, Micros now) const {
   const Micros windowStart = now - settings_.flapWindow;
-  const auto outside = [windowStart](Micros at) { return at <= windowStart; };
-  state.returns.erase(std::remove_if(state.returns.begin(), state.returns.end(), outside),
-                      state.returns.end());
-  state.returns.push_back(now);
+  const auto isOutsideWindow = [windowStart](Micros at) { return at <= windowStart; };
+  state.returnTimes.erase(std::remove_if(state.returnTimes.begin(), state.returnTimes.end(), isOutsideWindow),
+                          state.returnTimes.end());
+  state.returnTimes.push_back(now);
 }
 
 void Membership::scheduleEvaluations(const std::string& address, AddressState& state,
@@ -101,7 +101,8 @@
     schedule_.schedule(address, state.evaluateAt, view->record.expiresAt);
 }
 
-// An absent address is remembered for as long as its returns count. Destroys `state` when that is over.
+// Keeps the state of an absent address while its returns count for flap damping, then deletes it. `state` is
+// invalid after that.
 void Membership::forgetIfAbsent(const std::string& address, AddressState& state, const RecordView* view,
                                 Micros now) {
   if (view != nullptr || !state.rosterServers.empty() || published_.contains(address)) return;
@@ -114,10 +115,10 @@
 void Membership::publish(const ServerId& server, const DesiredState& desired, MembershipUpdate& update) {
   if (!desired.listed) return withdraw(server, desired.rule, update);
   const PublishedList::Entry* const current = published_.find(server);
-  const bool byRosterWeight =
+  const bool usesRosterWeight =
       known_.roster.count(server) != 0 && settings_.weightSource == WeightSource::Roster;
-  const double tolerance = byRosterWeight ? 0 : settings_.weightTolerance;
-  if (current != nullptr && isSame(current->endpoint, desired.endpoint, tolerance))
+  const double tolerance = usesRosterWeight ? 0 : settings_.weightTolerance;
+  if (current != nullptr && isEquivalent(current->endpoint, desired.endpoint, tolerance))
     return published_.setRule(server, desired.rule);
   published_.set(desired.endpoint, desired.rule);
   update.list.endpoints.push_back(desired.endpoint);
@@ -134,20 +135,21 @@
   update.decisions.push_back({server, EndpointState::Removed, rule});
 }
 
-void Membership::takeRemovalStep(Micros now, MembershipUpdate& update) {
+void Membership::runRemovalStep(Micros now, MembershipUpdate& update) {
   const std::optional<Micros> step = departures_.nextStep();
   if (!step || now < *step) return;
   const double share = settings_.removalStepShare * static_cast<double>(published_.readyCount());
   const auto count = static_cast<std::size_t>(std::max(1.0, share));
   for (const std::string& address : departures_.beginStep(count, now, settings_.removalStepInterval))
-    leave(address, now, update);
+    beginDeparture(address, now, update);
 }
 
-void Membership::leave(const std::string& address, Micros now, MembershipUpdate& update) {
+// Drains the address if its tier is no longer used, otherwise removes its overdue records.
+void Membership::beginDeparture(const std::string& address, Micros now, MembershipUpdate& update) {
   AddressState& state = known_.addresses.at(address);
   const RecordView* const best = rules_.bestView(state, now);
   const bool byTier = best != nullptr && !rules_.isTierInUse(*best);
-  // One of the last ready servers waits for others.
+  // One of the last ready servers stays until others are ready.
   const bool isLast = published_.readyCount() <= settings_.minimumReady;
   if (isLast && (byTier || !state.rosterServers.empty())) return;
   departures_.remove(address);
--- a/src/membership/published_list.h
+++ b/src/membership/published_list.h
@@ -1,4 +1,4 @@
-/// The endpoint list as the decision module has it.
+/// The endpoint list as published to the decision module.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace peargrade::membership {
 
-/// Ready and draining servers, each with the rule by which it is listed.
+/// Ready and draining servers, each with the rule that lists it.
 class PublishedList {
  public:
   struct Entry {
@@ -17,12 +17,12 @@
     Rule rule = Rule::Roster;
   };
 
-  /// nullptr if it is not listed.
+  /// nullptr if the server is not listed.
   const Entry* find(const ServerId& server) const;
   bool contains(const ServerId& server) const { return find(server) != nullptr; }
   bool isReady(const ServerId& server) const;
 
-  /// Adds the endpoint or replaces it.
+  /// Adds or replaces the endpoint.
   void set(const Endpoint& endpoint, Rule rule);
   /// Replaces the rule of a listed server.
   void setRule(const ServerId& server, Rule rule);
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -1,4 +1,4 @@
-// Membership: what records list and leave out.
+// Membership: applies observations of records.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +7,7 @@
 namespace peargrade::membership {
 namespace {
 
-// Whether a record changes how the address may stand in the list.
+// Whether applying `listed` may change the desired state of the address.
 bool changesView(const RecordView& view, const ServiceRecord& listed, Micros asOf) {
   const ServiceRecord& record = view.record;
   return !view.isPresent() || view.isUnconfirmed() || view.hasExpired(asOf) ||
@@ -15,8 +15,8 @@
          record.kind != listed.kind || record.cell != listed.cell;
 }
 
-// Whether the record says that the server drains, and did not say so before. A repeated drain is the one of
-// then; a new one concerns the server as it runs now.
+// Whether the record drains the server and did not already drain it. A repeated drain keeps the time of the
+// first one; a new drain applies to the server process that runs now.
 bool beginsDrain(const AddressState& state, const RecordView& view, const ServiceRecord& listed) {
   if (listed.state != EndpointState::Draining) return false;
   const bool repeated =
@@ -24,11 +24,11 @@
   return state.drainedAt == 0 || !repeated;
 }
 
-// Whether a complete observation no longer offers the address.
+// Whether a complete observation leaves out the address.
 bool leavesOut(const Observation& observation, const std::set<std::string>& offered,
                const std::string& address, const RecordView& view) {
   if (!view.isPresent() || offered.count(address) != 0) return false;
-  // Another response from the same moment listed it.
+  // Another response of the same or a later time listed it.
   if (view.lastListed >= observation.asOf) return false;
   return observation.unresolvedTargets.count(view.record.target) == 0;
 }
@@ -40,19 +40,19 @@
   RecordSource& source = known_.sources[observation.source];
   if (observation.asOf < source.lastComplete) return;
   const bool complete = observation.kind == Observation::Kind::Complete;
-  const bool warm = complete && !source.hasCompleted && settings_.firstResponseIsWarm;
+  const bool warm = complete && !source.hasCompleteResponse && settings_.firstResponseIsWarm;
   for (const ServiceRecord& record : observation.records) {
     if (!applyRecord(observation.source, record, observation.asOf, warm)) ++rejectedServers_;
   }
   if (complete) {
     applyAbsences(observation, now);
-    if (!source.hasCompleted && known_.rosterStatus == RosterStatus::NotConfigured) updateOwed_ = true;
-    source.completedAt(observation.asOf);
+    if (!source.hasCompleteResponse && known_.rosterStatus == RosterStatus::NotConfigured) updateDue_ = true;
+    source.recordComplete(observation.asOf);
   }
   recountTiers(observation.source, now);
 }
 
-// False if the address is unknown and no more are taken.
+// Returns false if the address is unknown and `serversMax` addresses are already known.
 bool Membership::applyRecord(std::size_t source, const ServiceRecord& record, Micros asOf, bool warm) {
   const auto found = known_.addresses.find(record.address);
   const bool isKnown = found != known_.addresses.end();
@@ -64,22 +64,22 @@
     state.drainedAt = asOf;
     markChanged(record.address);
   }
-  noteStart(state, record, asOf, warm);
+  updateStart(state, record, asOf, warm);
   if (changesView(view, record, asOf) || departures_.contains(record.address)) markChanged(record.address);
-  view.refresh(record, asOf, known_.sources[source].completeBefore(asOf));
+  view.refresh(record, asOf, known_.sources[source].lastCompleteBefore(asOf));
   if (authority) applyAuthority(state, view, record);
   state.forgetAt = 0;
   return true;
 }
 
-// What a source with authority says beyond the address: a start, the end of a drain, the end of its own
-// removal.
+// Applies what only a source with authority may state: a start time, the end of a drain and the end of a
+// removal by records.
 void Membership::applyAuthority(AddressState& state, const RecordView& view, const ServiceRecord& record) {
   if (record.startedAt > 0 && record.startedAt != state.startedAt) {
     state.startedAt = record.startedAt;
     markChanged(record.address);
   }
-  // A drain ends with a new start, either stated or seen as an absence.
+  // A drain ends with a restart: a later start time, or an absence from the source.
   const bool restarted = record.startedAt > state.drainedAt || view.absentAt > state.drainedAt;
   if (state.drainedAt != 0 && record.state == EndpointState::Ready && restarted) {
     state.drainedAt = 0;
@@ -91,9 +91,9 @@
   }
 }
 
-// The start as far as records show it: the first one since the address was absent. A response from the same
-// moment as the one that removed it shows no new start.
-void Membership::noteStart(AddressState& state, const ServiceRecord& record, Micros asOf, bool warm) const {
+// Derives the server's start time from records: the first observation since the address was absent, unless
+// the start is cached or stated. A response of the same time as the removal does not indicate a new start.
+void Membership::updateStart(AddressState& state, const ServiceRecord& record, Micros asOf, bool warm) const {
   if (state.absentSince != 0 && asOf <= state.absentSince) return;
   if (state.isPresent()) {
     state.startedAt = std::min(state.startedAt, asOf);
@@ -108,8 +108,8 @@
     state.startedAt = warm ? 0 : asOf;
 }
 
-// Removes what a complete response leaves out. If that takes much of the pool at once, a second response has
-// to confirm it.
+// Removes the addresses that a complete response leaves out. If it leaves out a large share of the pool, the
+// removal must be confirmed by a second response.
 void Membership::applyAbsences(const Observation& observation, Micros now) {
   std::set<std::string> offered;
   for (const ServiceRecord& record : observation.records) offered.insert(record.address);
@@ -138,6 +138,7 @@
   }
 }
 
+// Whether removing the record may remove a ready server from the list.
 bool Membership::removalCostsReadyServer(const std::string& address, const AddressState& state,
                                          const RecordView& view) const {
   const bool authority = known_.sources[view.source].authority;
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -1,4 +1,4 @@
-// Membership: what the roster lists, drains and removes.
+// Membership: applies the roster.
 #include "membership/membership.h"
 
 namespace peargrade::membership {
@@ -6,7 +6,7 @@
 void Membership::applyRoster(EndpointListKind kind, const std::vector<RosterEntry>& entries, Micros now) {
   if (known_.rosterStatus == RosterStatus::NotConfigured) return;
   if (kind == EndpointListKind::Failed || kind == EndpointListKind::Cached) return;
-  updateOwed_ = true;
+  updateDue_ = true;
   if (kind == EndpointListKind::Full) {
     fullListRequested_ = true;
     removeMissingFromRoster(entries, now);
@@ -19,7 +19,7 @@
   }
   if (known_.rosterStatus == RosterStatus::Received) return;
   known_.rosterStatus = RosterStatus::Received;
-  // Servers of records that waited for the roster may be listed now.
+  // Servers that only records list have waited for the roster and may be listed now.
   for (const auto& [address, state] : known_.addresses) markChanged(address);
 }
 
@@ -34,12 +34,12 @@
   if (entry.address.empty()) return;
   markChanged(entry.address);
   if (entry.endpoint.state != EndpointState::Ready) return;
-  // The roster may revoke its own removal; that of another authority ends with a new start only.
+  // The roster may revoke its own removal. It revokes one by records with authority only with a newer start.
   Removal& removal = known_.addresses.at(entry.address).removal;
   if (removal.by != Removal::By::Records || entry.endpoint.startedAt > removal.at) removal = {};
 }
 
-// Records from before the removal do not bring the server back.
+// Records the removal at the address, so that records that still list the server do not add it again.
 void Membership::removeRosterServer(const ServerId& server, Micros now) {
   const auto found = known_.roster.find(server);
   if (found == known_.roster.end()) return;
@@ -64,7 +64,7 @@
   for (const ServerId& server : missing) removeRosterServer(server, now);
 }
 
-// Where the server's address changes, the old one is no longer its own.
+// Also detaches the server from its previous address if the address changed.
 void Membership::setRosterEntry(const RosterEntry& entry) {
   const ServerId& server = entry.endpoint.server;
   RosterEntry& current = known_.roster[server];
@@ -83,7 +83,7 @@
   markChanged(entry.address);
 }
 
-// Added if it is unknown.
+// Returns the state of the address; adds it if the address is unknown.
 AddressState& Membership::addressState(const std::string& address) {
   return known_.addresses.try_emplace(address, known_.sources.size()).first->second;
 }
--- a/src/membership/rule.h
+++ b/src/membership/rule.h
@@ -1,30 +1,31 @@
-/// The rules that decide how a server stands in the endpoint list.
+/// Rules that decide whether a server is in the endpoint list and in which state.
 #pragma once
 
 namespace peargrade::membership {
 
-/// Why a server stands in the list as it does. docs/membership.md explains each under its code.
+/// Why a server is listed, draining or not listed. docs/membership.md describes each rule under its code.
 enum class Rule {
-  Roster,           // the roster lists it as running
+  Roster,           // the roster lists it as ready
   RosterDraining,   // the roster drains it
-  RosterGone,       // the roster removed it, and no restart has been seen since
-  RosterExpired,    // the roster lists it; its records have expired or are unconfirmed
+  RosterGone,       // the roster removed it, and no restart has been observed since
+  RosterExpired,    // the roster lists it, but its records have expired or are unconfirmed
   Records,          // unexpired records list it
   RecordsDraining,  // records with authority drain it
-  RecordsGone,      // records with authority removed it, and no restart has been seen since
-  Stale,            // its records have expired; it stays listed for the stale retention
-  Leaving,          // past that retention or the confirmation timeout: leaves in a removal step
+  RecordsGone,      // records with authority removed it, and no restart has been observed since
+  Stale,            // its records have expired, but the stale retention has not passed
+  Leaving,          // past the stale retention or the confirmation timeout: waits for a removal step
   Removed,          // a complete response left it out
-  Confirm,          // the same, but of too many servers at once: a second response has to confirm it
-  KeepLeast,        // would be removed, but is one of the last ready servers
-  Standby,          // of a tier that is not in use
-  TierLeaving,      // of a tier that is no longer needed: leaves in removal steps
-  FlapHeld,         // returned too often; not listed for a while
-  RosterAwaited,    // not listed before the roster has been received
-  TakenBack,        // was removed by an authority, and has restarted since
+  Confirm,          // a response left out too many servers at once: awaits a second, confirming response
+  KeepLeast,        // kept because it is one of the last ready servers
+  Standby,          // not listed: its tier is not in use
+  TierLeaving,      // its tier is no longer needed: leaves in removal steps
+  FlapHeld,         // returned too often: not listed until the hold time has passed
+  RosterAwaited,    // not listed until the roster has been received or its startup timeout has passed
+  TakenBack,        // listed again: a source with authority removed it, and it has restarted since
 };
 
-/// The rule's code in logs, in the output of `sources explain` and in docs/membership.md: "roster-draining".
+/// Code of the rule in logs, in the output of `sources explain` and in docs/membership.md, for example
+/// "roster-draining".
 const char* codeOf(Rule rule);
 
 }  // namespace peargrade::membership
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -7,48 +7,49 @@
 
 namespace peargrade::membership {
 
-/// Whose weight and priority count for a server that the roster lists.
+/// Which source determines the weight and priority of a server that the roster lists.
 enum class WeightSource {
-  Roster,   // the roster's weight; priorities of records do not matter
+  Roster,   // the roster's weight; priorities of records are ignored
   Records,  // weight and priority of the records
 };
 
-/// How several sources become one list. Times in microseconds, shares from 0 to 1. Each comment ends
-/// with the field's name in the operator's file.
+/// Parameters of the merge. Times are in microseconds, shares from 0 to 1. Each comment ends with the name of
+/// the field in the operator's file.
 struct Settings {
-  /// How long a server that only records without authority list stays listed after they expired. `stale`.
+  /// How long a server stays listed after its records expired, if only records without authority list it.
+  /// `stale`.
   Micros staleRetention = 60000000;
-  /// Servers that leave in one removal step, as a share of the ready ones; at least one. `step-share`.
+  /// Maximum share of the ready servers that leaves in one removal step; at least one server leaves.
+  /// `step-share`.
   double removalStepShare = 0.1;
   /// Time between removal steps. `step-every`.
   Micros removalStepInterval = 5000000;
-  /// A complete response that leaves out more than this share of the ready servers needs a second one to
-  /// confirm it. `confirm-share`.
+  /// A complete response that leaves out more than this share of the ready servers must be confirmed by a
+  /// second one. `confirm-share`.
   double confirmationShare = 0.3;
-  /// Without a second response the servers leave in steps after this time. `confirm-within`.
+  /// After this time without a second response, the servers leave in steps. `confirm-within`.
   Micros confirmationTimeout = 30000000;
-  /// A tier joins when the usable share of the tiers above it falls below this. `tier-least`.
+  /// A tier is used once the usable share of the tiers above it falls below this. `tier-least`.
   double tierJoinShare = 0.5;
-  /// A tier leaves when the usable share of the tiers above it has reached this. `tier-back`.
+  /// A tier is no longer used once the usable share of the tiers above it reaches this. `tier-back`.
   double tierLeaveShare = 0.7;
-  /// A change of weight by up to this share is not published. `weight-margin`.
+  /// Weight changes up to this share of the published weight are not published. `weight-margin`.
   double weightTolerance = 0.1;
-  /// A server that returned `flapReturnsMax` times within this time is held back. `flap-span`.
+  /// A server that returned `flapReturnsMax` times within this time is not listed again at once. `flap-span`.
   Micros flapWindow = 60000000;
-  /// `flap-turns`.
+  /// See `flapWindow`. `flap-turns`.
   int flapReturnsMax = 2;
-  /// How long it is held back after its last return. `flap-hold`.
+  /// How long such a server is not listed after its last return. `flap-hold`.
   Micros flapHoldTime = 60000000;
-  /// How long servers of records wait for the roster after the start. `roster-first`.
+  /// How long after the program start servers that only records list wait for the roster. `roster-first`.
   Micros rosterStartupTimeout = 3000000;
-  /// Records without authority never remove the last ready servers up to this number. `keep-least`.
+  /// Records without authority never remove a server while at most this many are ready. `keep-least`.
   std::size_t minimumReady = 1;
-  /// Bound on the servers of the roster and on the addresses that are known; further ones are rejected.
-  /// `servers`.
+  /// Maximum number of roster servers, and of known addresses. Further ones are rejected. `servers`.
   std::size_t serversMax = 50000;
-  /// `weights`: "roster" or "srv".
+  /// Value "roster" or "srv". `weights`.
   WeightSource weightSource = WeightSource::Roster;
-  /// Servers of the first complete response have been running for long and need no slow start.
+  /// Whether servers of the first complete response are assumed to have finished their slow start.
   /// `first-answer-warm`.
   bool firstResponseIsWarm = false;
 };
--- a/src/membership/tiers.cpp
+++ b/src/membership/tiers.cpp
@@ -6,8 +6,8 @@
 namespace peargrade::membership {
 namespace {
 
-// A weight of 0 next to others means a very small share (RFC 2782). The bounds keep every server reachable,
-// and one wrong weight from drawing all load.
+// A weight of 0 among higher weights means a very small share (RFC 2782). The lower bound keeps every server
+// reachable; the upper bound keeps a single excessive weight from attracting all load.
 constexpr double kRelativeWeightMin = 0.02;
 constexpr double kRelativeWeightMax = 50;
 
--- a/src/membership/tiers.h
+++ b/src/membership/tiers.h
@@ -1,5 +1,5 @@
-/// Tiers and weights of one source of records (RFC 2782): which priorities are in use, and each server's
-/// weight relative to its tier.
+/// Tiers of one source of records (RFC 2782): which priorities are in use, and the weight of each server
+/// relative to its tier.
 #pragma once
 
 #include <cstddef>
@@ -12,43 +12,46 @@
 
 namespace peargrade::membership {
 
-/// A tier is the servers of one priority. The lowest number is always in use; the next joins while too few of
-/// the servers above it are usable.
+/// A tier consists of the servers of one priority. The tier with the lowest number is always in use. The next
+/// one is used while too few servers of the tiers above it are usable.
 class SourceTiers {
  public:
   struct Count {
     std::size_t present = 0;
     std::size_t usable = 0;
-    double weight = 0;  // sum of the present ones
+    double weight = 0;  // sum over the present servers
   };
   using Counts = std::map<int, Count>;  // by priority
 
   struct Changes {
+    /// Whether the mean weight of any tier changed.
     bool meanWeights = false;
-    /// When a tier that shrank has to be counted again.
+    /// When a tier that shrank must be counted again.
     std::vector<Micros> recountAt;
   };
 
-  /// Takes over the servers that the source lists now.
+  /// Updates the tiers to the servers that the source currently lists.
   Changes recount(const Counts& counts, const Settings& settings, Micros now);
-  /// Which tiers are in use by the last count. Returns the priorities for which that changed.
+  /// Determines which tiers are in use from the last count. Returns the priorities whose use changed.
   std::vector<int> updateUse(const Settings& settings);
-  /// For a source with a single tier.
+  /// Marks all tiers as in use. For a source with a single tier.
   void useAll();
 
   std::size_t size() const { return tiers_.size(); }
   /// An unknown priority counts as in use.
   bool isInUse(int priority) const;
-  /// The record's weight as a multiple of its tier's mean, within bounds; 1 where the tier has no weights.
+  /// The record's weight as a multiple of the mean weight of its tier, clamped to a fixed range; 1 if
+  /// all weights of the tier are 0.
   double relativeWeight(const ServiceRecord& record) const;
 
  private:
   struct Tier {
     std::size_t present = 0;
     std::size_t usable = 0;
-    /// The most servers it had within the stale retention, so that a shrinking response counts as a loss.
+    /// Largest `present` within the stale retention. Servers that a shrinking response leaves out count as
+    /// lost.
     std::size_t peak = 0;
-    Micros peakExpiresAt = 0;  // 0: it has not shrunk
+    Micros peakExpiresAt = 0;  // 0: the tier has not shrunk below its peak
     double meanWeight = 0;
     bool inUse = false;
   };
--- a/tests/membership/authority_property_test.cpp
+++ b/tests/membership/authority_property_test.cpp
@@ -1,5 +1,5 @@
-// Random interleavings with a zone that has authority, beside a roster and plain records: nothing is sent to
-// a server that the zone drains.
+// Random interleavings of a zone with authority, a roster and records without authority: a server that the
+// zone drains is never published as ready.
 #include <gtest/gtest.h>
 
 #include "property_fixture.h"
@@ -14,12 +14,15 @@
   enum class Kind { Zone, Records, Roster, Wait };
 
   Kind kind = Kind::Wait;
-  int servers = 0;  // sets of bits
+  /// Bit sets of servers: listed, drained, and listed with a new start.
+  int servers = 0;
   int drained = 0;
   int started = 0;
-  int server = 0;  // of a roster step
+  /// Server of a roster step.
+  int server = 0;
   EndpointState state = EndpointState::Ready;
-  bool restarts = false;  // the roster says that it started now
+  /// Whether the roster step states a start at the current time.
+  bool restarts = false;
   Micros span = 0;
 };
 
@@ -36,10 +39,10 @@
   return rc::gen::build<ZoneStep>(
       rc::gen::set(&ZoneStep::kind,
                    rc::gen::element(Kind::Zone, Kind::Zone, Kind::Records, Kind::Roster, Kind::Wait)),
-      rc::gen::set(&ZoneStep::servers, rc::gen::inRange(0, 1 << kServers)),
-      rc::gen::set(&ZoneStep::drained, rc::gen::inRange(0, 1 << kServers)),
-      rc::gen::set(&ZoneStep::started, rc::gen::inRange(0, 1 << kServers)),
-      rc::gen::set(&ZoneStep::server, rc::gen::inRange(0, kServers)),
+      rc::gen::set(&ZoneStep::servers, rc::gen::inRange(0, 1 << kServerCount)),
+      rc::gen::set(&ZoneStep::drained, rc::gen::inRange(0, 1 << kServerCount)),
+      rc::gen::set(&ZoneStep::started, rc::gen::inRange(0, 1 << kServerCount)),
+      rc::gen::set(&ZoneStep::server, rc::gen::inRange(0, kServerCount)),
       rc::gen::set(&ZoneStep::state,
                    rc::gen::element(EndpointState::Ready, EndpointState::Draining, EndpointState::Removed)),
       rc::gen::set(&ZoneStep::restarts, rc::gen::element(true, false)),
@@ -47,8 +50,8 @@
                    rc::gen::map(rc::gen::inRange(1, 100), [](int seconds) { return seconds * kSecond; })));
 }
 
-/// Remembers which servers the zone drains. A drain is forgotten at the first sign of a new start, so that
-/// what is still remembered has to hold.
+/// Tracks which servers the zone drains. Drops a drain at the first indication of a restart, so that each
+/// tracked drain must still be in force.
 class DrainChecker : public SimulatedMembership {
  public:
   DrainChecker() : SimulatedMembership(Settings{}, {true, false}) {}
@@ -58,11 +61,11 @@
     reconcile();
     switch (step.kind) {
       case ZoneStep::Kind::Zone:
-        noteZone(step);
-        membership.applyRecords(observationOf(step), now);
+        recordZoneResponse(step);
+        membership.applyRecords(makeObservation(step), now);
         break;
       case ZoneStep::Kind::Records:
-        membership.applyRecords(observationOf(step), now);
+        membership.applyRecords(makeObservation(step), now);
         break;
       case ZoneStep::Kind::Roster:
         if (step.restarts) rosterStart_[step.server] = now;
@@ -79,25 +82,25 @@
   void reconcile() override {
     takeUpdate();
     for (const auto& [k, since] : drainedSince_) {
-      RC_ASSERT(!isReady(addressOf(k)));
+      RC_ASSERT(!isReady(socketAddress(k)));
       if (rosterStart_[k] <= since) RC_ASSERT(!isReady(rosterId(k)));
     }
-    for (int k = 0; k < kServers; ++k) RC_ASSERT(!isListed(addressOf(k)) || !isListed(rosterId(k)));
+    for (int k = 0; k < kServerCount; ++k) RC_ASSERT(!isListed(socketAddress(k)) || !isListed(rosterId(k)));
     RC_ASSERT(membership.readyCount() == readyCount());
     checkSchedule();
   }
 
  private:
-  Observation observationOf(const ZoneStep& step) const {
+  Observation makeObservation(const ZoneStep& step) const {
     const bool isZone = step.kind == ZoneStep::Kind::Zone;
     Observation observation;
     observation.kind = Observation::Kind::Complete;
     observation.source = isZone ? kZoneSource : kRecordSource;
     observation.asOf = now;
-    for (int k = 0; k < kServers; ++k) {
+    for (int k = 0; k < kServerCount; ++k) {
       if (!contains(step.servers, k)) continue;
       ServiceRecord record;
-      record.address = addressOf(k);
+      record.address = socketAddress(k);
       record.target = "b" + std::to_string(k);
       record.weight = 10;
       record.expiresAt = now + 1000 * kSecond;
@@ -108,10 +111,10 @@
     return observation;
   }
 
-  void noteZone(const ZoneStep& step) {
-    for (int k = 0; k < kServers; ++k) {
+  void recordZoneResponse(const ZoneStep& step) {
+    for (int k = 0; k < kServerCount; ++k) {
       const bool restarted = contains(step.started, k) || !contains(inZone_, k);
-      const bool removed = !contains(step.servers, k);  // not drained
+      const bool removed = !contains(step.servers, k);  // a removed server is not drained
       if (!removed && contains(step.drained, k))
         drainedSince_.emplace(k, now);
       else if (removed || restarted)
@@ -122,10 +125,10 @@
 
   std::map<int, Micros> drainedSince_;
   std::map<int, Micros> rosterStart_;
-  int inZone_ = 0;  // servers of the zone's last response
+  int inZone_ = 0;  // bit set of the servers in the zone's last response
 };
 
-TEST(AuthorityProperty, NothingIsSentToAServerThatTheZoneDrains) {
+TEST(AuthorityProperty, ServerDrainedByTheZoneIsNeverReady) {
   EXPECT_TRUE(rc::check("zone with authority", [] {
     const auto steps = *rc::gen::container<std::vector<ZoneStep>>(anyZoneStep());
     DrainChecker checker;
--- a/tests/membership/authority_test.cpp
+++ b/tests/membership/authority_test.cpp
@@ -1,4 +1,4 @@
-// Membership: records with authority, of a zone that this installation keeps itself.
+// Membership: records with authority, from a zone that this installation manages itself.
 #include <gtest/gtest.h>
 
 #include "membership_fixture.h"
@@ -22,23 +22,23 @@
   reconcile();
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-2"}));
   EXPECT_EQ(list["s-1"].state, EndpointState::Draining);
-  EXPECT_EQ(list[addressOf(3)].state, EndpointState::Draining);
-  EXPECT_EQ(ruleOf("s-1"), Rule::RecordsDraining);
+  EXPECT_EQ(list[socketAddress(3)].state, EndpointState::Draining);
+  EXPECT_EQ(explainedRule("s-1"), Rule::RecordsDraining);
   // Neither a record that lists it as ready nor the roster, which never drained it, ends the drain.
   now += kSecond;
   membership->applyRecords(response({1, 2, 3}, 3600 * kSecond), now);
   reconcile();
   applyRoster(EndpointListKind::Delta, {rosterEntry(1)});
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-2"}));
-  // A newer start does, from either source.
+  // A newer start from either source ends it.
   applyRoster(EndpointListKind::Delta, {rosterEntry(1, EndpointState::Ready, now)});
   now += kSecond;
   observation = response({1, 2, 3}, 3600 * kSecond);
   observation.records[2].startedAt = now;
   membership->applyRecords(observation, now);
   reconcile();
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2", addressOf(3)}));
-  EXPECT_EQ(list[addressOf(3)].startedAt, now);
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2", socketAddress(3)}));
+  EXPECT_EQ(list[socketAddress(3)].startedAt, now);
 }
 
 TEST_F(RecordAuthority, RemovalByRecordsOverridesOtherSources) {
@@ -51,8 +51,8 @@
   reconcile();
   now += kSecond;
   applyComplete({2, 3, 4}, 3600 * kSecond);
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-2", "s-3", "s-4", addressOf(5)}));
-  EXPECT_EQ(ruleOf("s-1"), Rule::RecordsGone);
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-2", "s-3", "s-4", socketAddress(5)}));
+  EXPECT_EQ(explainedRule("s-1"), Rule::RecordsGone);
   now += kSecond;
   applyComplete({1, 2, 3, 4}, 3600 * kSecond);
   EXPECT_EQ(readyServers().count("s-1"), 1u) << "a source may revoke its own removal";
@@ -66,7 +66,7 @@
   applyComplete({});
   EXPECT_EQ(readyServers().size(), 4u);
   advance(settings.confirmationTimeout);
-  EXPECT_EQ(readyServers().size(), 3u) << "in steps";
+  EXPECT_EQ(readyServers().size(), 3u) << "servers leave in steps";
   advance(3500 * kSecond);
   EXPECT_EQ(readyServers().size(), 1u);
 }
@@ -80,13 +80,14 @@
   observation.records[1].startedAt = now - 2 * kSecond;
   membership->applyRecords(observation, now);
   reconcile();
-  EXPECT_EQ(list[addressOf(1)].startedAt, 500 * kSecond)
-      << "a stated start counts more than the first observation";
-  EXPECT_EQ(list[addressOf(2)].startedAt, now - 2 * kSecond);
+  EXPECT_EQ(list[socketAddress(1)].startedAt, 500 * kSecond)
+      << "a stated start takes precedence over the first observation";
+  EXPECT_EQ(list[socketAddress(2)].startedAt, now - 2 * kSecond);
   now += kSecond;
   membership->applyRecords(response({1, 2}, 3600 * kSecond), now);
   reconcile();
-  EXPECT_EQ(list[addressOf(2)].startedAt, now - 3 * kSecond) << "a record without a start does not change it";
+  EXPECT_EQ(list[socketAddress(2)].startedAt, now - 3 * kSecond)
+      << "a record without a start does not change it";
 }
 
 TEST_F(RecordAuthority, ServerStartedAtTheMomentOfItsDrainIsDrained) {
@@ -96,7 +97,7 @@
   observation.records[0].state = EndpointState::Draining;
   membership->applyRecords(observation, now);
   reconcile();
-  EXPECT_EQ(ruleOf("s-1"), Rule::RecordsDraining);
+  EXPECT_EQ(explainedRule("s-1"), Rule::RecordsDraining);
 }
 
 }  // namespace
--- a/tests/membership/bounds_test.cpp
+++ b/tests/membership/bounds_test.cpp
@@ -1,4 +1,4 @@
-// Membership: flap damping, bounds, and when the full list is published.
+// Membership: flap damping, limits, and publication of the full list.
 #include <gtest/gtest.h>
 
 #include "membership_fixture.h"
@@ -20,7 +20,7 @@
     applyComplete({1, 2, 3});
   }
   EXPECT_EQ(readyServers().size(), 2u);
-  EXPECT_EQ(ruleOf(addressOf(3)), Rule::FlapHeld);
+  EXPECT_EQ(explainedRule(socketAddress(3)), Rule::FlapHeld);
   applyRoster(EndpointListKind::Delta, {rosterEntry(1, EndpointState::Draining)});
   EXPECT_EQ(readyServers().size(), 1u);
   membership->applyRecords(response({1, 2, 3}, 3600 * kSecond), now);
@@ -40,7 +40,7 @@
   }
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1"}));
   applyRoster(EndpointListKind::Delta, {rosterEntry(1, EndpointState::Draining)});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{addressOf(3)}));
+  EXPECT_EQ(readyServers(), (std::set<std::string>{socketAddress(3)}));
 }
 
 TEST_F(MembershipBounds, ServersBeyondTheLimitAreRejected) {
--- a/tests/membership/membership_fixture.h
+++ b/tests/membership/membership_fixture.h
@@ -1,4 +1,5 @@
-/// Fixture with a Membership on a clock that the test moves, and with the list as the decision module has it.
+/// Fixture with a Membership, a clock that the test advances, and the list as published to the decision
+/// module.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,8 +19,8 @@
 inline constexpr Micros kSecond = 1000000;
 
 /// Socket address of server `k`.
-inline std::string addressOf(int k) { return "10.1.0." + std::to_string(k) + ":3000"; }
-/// The roster's name of server `k`.
+inline std::string socketAddress(int k) { return "10.1.0." + std::to_string(k) + ":3000"; }
+/// Roster ID of server `k`.
 inline ServerId rosterId(int k) { return "s-" + std::to_string(k); }
 
 inline RosterEntry rosterEntry(int k, EndpointState state = EndpointState::Ready, Micros startedAt = 0) {
@@ -27,11 +28,11 @@
   entry.endpoint.server = rosterId(k);
   entry.endpoint.state = state;
   entry.endpoint.startedAt = startedAt;
-  entry.address = addressOf(k);
+  entry.address = socketAddress(k);
   return entry;
 }
 
-/// A reader's list of servers.
+/// The list that results from applying the published updates.
 using ServerList = std::map<ServerId, Endpoint>;
 
 inline void applyUpdate(const MembershipUpdate& update, ServerList& list) {
@@ -44,7 +45,7 @@
   }
 }
 
-inline std::set<ServerId> readyIn(const ServerList& list) {
+inline std::set<ServerId> readyServersIn(const ServerList& list) {
   std::set<ServerId> ready;
   for (const auto& [server, endpoint] : list) {
     if (endpoint.state == EndpointState::Ready) ready.insert(server);
@@ -59,7 +60,7 @@
     membership = std::make_unique<Membership>(settings, authority, hasRoster, cached, now);
     for (const RosterEntry& entry : cached) list[entry.endpoint.server] = entry.endpoint;
   }
-  /// Whether there was an update.
+  /// Applies the update to `list`. Returns whether there was one.
   bool reconcile() {
     lastDecisions.clear();
     const auto update = membership->reconcile(now);
@@ -68,7 +69,7 @@
     applyUpdate(*update, list);
     return true;
   }
-  /// Moves the clock, and reconciles whenever it is due.
+  /// Advances the clock by `span` and reconciles at each due time.
   void advance(Micros span) {
     const Micros end = now + span;
     for (auto due = membership->nextReconcile(); due && *due <= end; due = membership->nextReconcile()) {
@@ -78,6 +79,7 @@
     now = end;
     reconcile();
   }
+  /// An observation of source 0 that lists `servers`.
   Observation response(const std::vector<int>& servers, Micros lifetime = 60 * kSecond,
                        Observation::Kind kind = Observation::Kind::Complete) const {
     Observation observation;
@@ -85,7 +87,7 @@
     observation.asOf = now;
     for (const int k : servers) {
       ServiceRecord record;
-      record.address = addressOf(k);
+      record.address = socketAddress(k);
       record.target = "bello-" + std::to_string(k) + ".example.org";
       record.weight = 10;
       record.expiresAt = now + lifetime;
@@ -105,15 +107,15 @@
     membership->applyRoster(kind, entries, now);
     reconcile();
   }
-  std::set<ServerId> readyServers() const { return readyIn(list); }
-  Rule ruleOf(const ServerId& server) const {
+  std::set<ServerId> readyServers() const { return readyServersIn(list); }
+  Rule explainedRule(const ServerId& server) const {
     for (const Explanation& explanation : membership->explain(now)) {
       if (explanation.server == server) return explanation.rule;
     }
     ADD_FAILURE() << server << " is not explained";
     return Rule::Roster;
   }
-  /// `from` to `end` - 1.
+  /// The numbers from `from` to `end` - 1.
   static std::vector<int> range(int end, int from = 0) {
     std::vector<int> all;
     for (int k = from; k < end; ++k) all.push_back(k);
--- a/tests/membership/order_property_test.cpp
+++ b/tests/membership/order_property_test.cpp
@@ -1,4 +1,4 @@
-// The final list does not depend on the order in which observations of one moment arrive.
+// The final list does not depend on the order in which observations of the same time arrive.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 namespace peargrade::membership {
 namespace {
 
-enum class Reconcile { AfterEachObservation, OncePerTurn };
+enum class Reconcile { AfterEachObservation, OncePerLoopIteration };
 
 using Steps = std::vector<Step>;
-/// Weight and start of each ready server.
+/// Weight and start time of each ready server.
 using FinalList = std::map<ServerId, std::pair<double, Micros>>;
 
 bool isRecords(const Step& step) {
@@ -23,11 +23,11 @@
     simulated.membership.applyRoster(EndpointListKind::Delta, {rosterEntry(step.server, step.state)},
                                      simulated.now);
   } else if (isRecords(step)) {
-    simulated.membership.applyRecords(observationOf(step, simulated.now), simulated.now);
+    simulated.membership.applyRecords(makeObservation(step, simulated.now), simulated.now);
   }
 }
 
-// A complete response with everything that the source listed in `steps`.
+// A complete response with all servers that the source listed in `steps`.
 Step completeResponse(std::size_t source, const Steps& steps) {
   Step response;
   response.kind = Step::Kind::Complete;
@@ -40,7 +40,8 @@
   return response;
 }
 
-// The ready servers once every state that ends by itself has ended. `simultaneous` arrive at one moment.
+// Applies `before` one second apart and `simultaneous` at one time, then lets all temporary states expire.
+// Returns the ready servers.
 FinalList finalList(const Steps& before, const Steps& simultaneous, Reconcile reconcile) {
   SimulatedMembership simulated(Settings{}, {false, false});
   for (const Step& step : before) {
@@ -54,7 +55,7 @@
     if (reconcile == Reconcile::AfterEachObservation) simulated.reconcile();
   }
   simulated.reconcile();
-  // The same complete responses follow in either order, as from a network that has recovered.
+  // The same complete responses follow for every order of `simultaneous`, as after a network recovers.
   for (int round = 0; round < 3; ++round) {
     for (std::size_t source = 0; source < 2; ++source) {
       simulated.now += kSecond;
@@ -63,11 +64,11 @@
     }
   }
   simulated.advance(900 * kSecond - 1);
-  FinalList found;
+  FinalList ready;
   for (const auto& [server, endpoint] : simulated.list) {
-    if (endpoint.state == EndpointState::Ready) found[server] = {endpoint.weight, endpoint.startedAt};
+    if (endpoint.state == EndpointState::Ready) ready[server] = {endpoint.weight, endpoint.startedAt};
   }
-  return found;
+  return ready;
 }
 
 Steps reversed(Steps steps) {
@@ -75,25 +76,25 @@
   return steps;
 }
 
-// Observations of one turn of the event loop are reconciled once: roster and records in any order.
-TEST(OrderProperty, WithinATurnDoesNotMatter) {
+// Roster and records of one event loop iteration are reconciled once, after the last of them.
+TEST(OrderProperty, WithinALoopIterationDoesNotMatter) {
   EXPECT_TRUE(rc::check("order within a turn", [] {
     const auto before = *rc::gen::container<Steps>(anyStep(Tiers::One));
     const auto generated = *rc::gen::container<Steps>(anyStep(Tiers::One));
-    // Two roster entries of one server have an order of their own: the later one counts.
+    // Two roster entries of one server are order-dependent: the later one applies. Keep only the first.
     std::set<int> inRoster;
     Steps simultaneous;
     for (const Step& step : generated) {
       if (step.kind == Step::Kind::RosterDelta && !inRoster.insert(step.server).second) continue;
       simultaneous.push_back(step);
     }
-    RC_ASSERT(finalList(before, simultaneous, Reconcile::OncePerTurn) ==
-              finalList(before, reversed(simultaneous), Reconcile::OncePerTurn));
+    RC_ASSERT(finalList(before, simultaneous, Reconcile::OncePerLoopIteration) ==
+              finalList(before, reversed(simultaneous), Reconcile::OncePerLoopIteration));
   }));
 }
 
-// Responses requested at the same moment, which arrive one after the other.
-TEST(OrderProperty, OfResponsesFromOneMomentDoesNotMatter) {
+// Responses requested at the same time that arrive one after the other.
+TEST(OrderProperty, OfResponsesRequestedAtTheSameTimeDoesNotMatter) {
   EXPECT_TRUE(rc::check("order of answers", [] {
     const auto before = *rc::gen::container<Steps>(anyStep(Tiers::One));
     Steps simultaneous;
--- a/tests/membership/property_fixture.cpp
+++ b/tests/membership/property_fixture.cpp
@@ -7,18 +7,18 @@
 namespace peargrade::membership {
 namespace {
 
-constexpr char kSeed[] = "seed=20261201 max_success=400 max_size=60";
+constexpr char kRapidCheckParameters[] = "seed=20261201 max_success=400 max_size=60";
 
-// The same cases in every run; another seed by RC_PARAMS in the environment.
-[[maybe_unused]] const int kSeeded = [] {
-  setenv("RC_PARAMS", kSeed, 0);
+// Generates the same cases in every run. RC_PARAMS in the environment overrides the seed.
+[[maybe_unused]] const int kParametersSet = [] {
+  setenv("RC_PARAMS", kRapidCheckParameters, 0);
   std::cout << "RC_PARAMS=" << std::getenv("RC_PARAMS") << '\n';
   return 0;
 }();
 
-std::set<int> toServers(int bits) {
+std::set<int> serversFromBits(int bits) {
   std::set<int> servers;
-  for (int k = 0; k < kServers; ++k) {
+  for (int k = 0; k < kServerCount; ++k) {
     if (contains(bits, k)) servers.insert(k);
   }
   return servers;
@@ -42,8 +42,8 @@
                    rc::gen::element(Kind::RosterDelta, Kind::RosterDelta, Kind::RosterFull, Kind::Complete,
                                     Kind::Complete, Kind::Partial, Kind::Wait, Kind::Wait)),
       rc::gen::set(&Step::source, rc::gen::inRange<std::size_t>(0, 2)),
-      rc::gen::set(&Step::servers, rc::gen::map(rc::gen::inRange(0, 1 << kServers), toServers)),
-      rc::gen::set(&Step::server, rc::gen::inRange(0, kServers)),
+      rc::gen::set(&Step::servers, rc::gen::map(rc::gen::inRange(0, 1 << kServerCount), serversFromBits)),
+      rc::gen::set(&Step::server, rc::gen::inRange(0, kServerCount)),
       rc::gen::set(&Step::state,
                    rc::gen::element(EndpointState::Ready, EndpointState::Draining, EndpointState::Removed)),
       rc::gen::set(&Step::span,
@@ -51,7 +51,7 @@
       rc::gen::set(&Step::priority, tiers == Tiers::Several ? rc::gen::element(0, 0, 20) : rc::gen::just(0)));
 }
 
-Observation observationOf(const Step& step, Micros now) {
+Observation makeObservation(const Step& step, Micros now) {
   const bool complete = step.kind == Step::Kind::Complete;
   Observation observation;
   observation.kind = complete ? Observation::Kind::Complete : Observation::Kind::Partial;
@@ -59,7 +59,7 @@
   observation.asOf = now;
   for (const int k : step.servers) {
     ServiceRecord record;
-    record.address = addressOf(k);
+    record.address = socketAddress(k);
     record.target = "b" + std::to_string(k);
     record.weight = 10;
     record.priority = k % 2 == 1 ? step.priority : 0;
--- a/tests/membership/property_fixture.h
+++ b/tests/membership/property_fixture.h
@@ -1,5 +1,5 @@
-/// Random observations for property tests of the membership, and a checker that keeps a view of its own,
-/// simpler than the code's.
+/// Generators of random observations for property tests of the membership, and a simulated membership whose
+/// list the tests check.
 #pragma once
 
 #include <rapidcheck.h>
@@ -14,34 +14,37 @@
 
 namespace peargrade::membership {
 
-inline constexpr int kServers = 8;
+inline constexpr int kServerCount = 8;
 
-/// Set of servers as bits, server `k` in bit `k`.
+/// Whether the bit set `servers` contains server `k`, which is bit `k`.
 inline bool contains(int servers, int k) { return (servers >> k & 1) != 0; }
 
-/// One observation, or a span of time without one.
+/// One observation, or a wait without one.
 struct Step {
   enum class Kind { RosterDelta, RosterFull, Complete, Partial, Wait };
 
   Kind kind = Kind::Wait;
   std::size_t source = 0;
   std::set<int> servers;
-  int server = 0;  // of a roster delta
+  /// Server of a roster delta.
+  int server = 0;
   EndpointState state = EndpointState::Ready;
-  Micros span = 0;   // of a wait, or a record's lifetime
-  int priority = 0;  // of the odd servers
+  /// Duration of a wait, or lifetime of a record.
+  Micros span = 0;
+  /// Priority of servers with an odd number.
+  int priority = 0;
 };
 
 std::ostream& operator<<(std::ostream& out, const Step& step);
 
+/// Number of priorities among the generated records.
 enum class Tiers { One, Several };
 rc::Gen<Step> anyStep(Tiers tiers);
 
-/// The observation of a Complete or Partial step.
-Observation observationOf(const Step& step, Micros now);
+/// The observation that a Complete or Partial step describes.
+Observation makeObservation(const Step& step, Micros now);
 
-/// A Membership with a roster, which is empty at first, on a clock of its own, and the list as its reader has
-/// it.
+/// A Membership with an initially empty roster, its clock, and the list that results from its updates.
 class SimulatedMembership {
  public:
   SimulatedMembership(const Settings& settings, const std::vector<bool>& authority);
@@ -49,18 +52,18 @@
   SimulatedMembership(const SimulatedMembership&) = delete;
   SimulatedMembership& operator=(const SimulatedMembership&) = delete;
 
-  /// Takes over what has changed.
+  /// Applies the pending update to `list`.
   virtual void reconcile() { takeUpdate(); }
-  /// Moves the clock, and reconciles whenever it is due.
+  /// Advances the clock by `span` and reconciles at each due time.
   void advance(Micros span);
 
-  std::size_t readyCount() const { return readyIn(list).size(); }
+  std::size_t readyCount() const { return readyServersIn(list).size(); }
   bool isListed(const ServerId& server) const { return list.count(server) != 0; }
   bool isReady(const ServerId& server) const;
   bool isDraining(const ServerId& server) const;
-  /// What is explained is what was published.
+  /// Checks that the explanations agree with the published list.
   void checkExplanations() const;
-  /// Every state that ends by itself is reconciled by then.
+  /// Checks that a reconciliation is scheduled no later than the end of every explained state.
   void checkSchedule() const;
 
   Micros now = 1000 * kSecond;
--- a/tests/membership/records_test.cpp
+++ b/tests/membership/records_test.cpp
@@ -1,4 +1,4 @@
-// Membership: what records list and leave out.
+// Membership: records that list servers, leave them out or expire.
 #include <gtest/gtest.h>
 
 #include "membership_fixture.h"
@@ -8,7 +8,7 @@
 
 using RecordMembership = MembershipTest;
 
-// A truncated response that lists half of the pool.
+// A truncated response lists half of the pool and one new server.
 TEST_F(RecordMembership, PartialResponseAddsAndRefreshesAndRemovesNothing) {
   start(false);
   applyComplete(range(8));
@@ -16,8 +16,8 @@
   applyPartial({0, 1, 2, 3, 8});
   EXPECT_EQ(readyServers().size(), 9u);
   advance(55 * kSecond);
-  EXPECT_EQ(ruleOf(addressOf(0)), Rule::Records) << "refreshed";
-  EXPECT_EQ(ruleOf(addressOf(7)), Rule::Stale);
+  EXPECT_EQ(explainedRule(socketAddress(0)), Rule::Records) << "refreshed";
+  EXPECT_EQ(explainedRule(socketAddress(7)), Rule::Stale);
   EXPECT_EQ(readyServers().size(), 9u);
 }
 
@@ -30,11 +30,11 @@
   advance(1);
   EXPECT_EQ(readyServers().size(), 16u);
   advance(settings.removalStepInterval);
-  EXPECT_EQ(readyServers().size(), 13u) << "a fifth of the remaining ones";
+  EXPECT_EQ(readyServers().size(), 13u) << "a fifth of the remaining ready servers";
   applyPartial({19}, 60 * kSecond);
-  EXPECT_EQ(ruleOf(addressOf(19)), Rule::Records) << "listed again: no longer waits to leave";
+  EXPECT_EQ(explainedRule(socketAddress(19)), Rule::Records) << "listed again: no longer queued for removal";
   advance(40 * kSecond);
-  EXPECT_TRUE(readyServers().count(addressOf(19)) == 1);
+  EXPECT_TRUE(readyServers().count(socketAddress(19)) == 1);
   EXPECT_LE(readyServers().size(), 6u);
 }
 
@@ -45,10 +45,10 @@
   advance(3600 * kSecond);
   EXPECT_EQ(readyServers().size(), 2u);
   const std::string remaining = *readyServers().begin();
-  EXPECT_EQ(ruleOf(remaining), Rule::KeepLeast);
+  EXPECT_EQ(explainedRule(remaining), Rule::KeepLeast);
   applyComplete({7, 8, 9});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{addressOf(7), addressOf(8), addressOf(9)}))
-      << "they leave once others are ready";
+  EXPECT_EQ(readyServers(), (std::set<std::string>{socketAddress(7), socketAddress(8), socketAddress(9)}))
+      << "the kept servers leave once others are ready";
 }
 
 TEST_F(RecordMembership, EmptyCompleteResponseDoesNotEmptyThePool) {
@@ -58,36 +58,36 @@
     now += kSecond;
     applyComplete({});
   }
-  EXPECT_EQ(readyServers().size(), 1u) << "confirmed, and still one stays";
+  EXPECT_EQ(readyServers().size(), 1u) << "one server stays although the removal is confirmed";
 }
 
 TEST_F(RecordMembership, ServerOfRecordsStartsWhenItIsFirstListed) {
   start(false);
   applyComplete({1});
   const Micros first = now;
-  EXPECT_EQ(list[addressOf(1)].startedAt, first);
+  EXPECT_EQ(list[socketAddress(1)].startedAt, first);
   now += 5 * kSecond;
   applyComplete({1, 2});
-  EXPECT_EQ(list[addressOf(1)].startedAt, first);
-  EXPECT_EQ(list[addressOf(2)].startedAt, now);
+  EXPECT_EQ(list[socketAddress(1)].startedAt, first);
+  EXPECT_EQ(list[socketAddress(2)].startedAt, now);
 }
 
 TEST_F(RecordMembership, CachedServersKeepTheirStart) {
   start(false, {rosterEntry(1), rosterEntry(2, EndpointState::Ready, 42)});
   applyComplete({1, 2, 3});
-  EXPECT_EQ(list[addressOf(1)].startedAt, 0);
-  EXPECT_EQ(list[addressOf(2)].startedAt, 42);
-  EXPECT_EQ(list[addressOf(3)].startedAt, now) << "this one is new";
+  EXPECT_EQ(list[socketAddress(1)].startedAt, 0);
+  EXPECT_EQ(list[socketAddress(2)].startedAt, 42);
+  EXPECT_EQ(list[socketAddress(3)].startedAt, now) << "not in the cached list";
 }
 
 TEST_F(RecordMembership, FirstResponseMayBeDeclaredWarm) {
   settings.firstResponseIsWarm = true;
   start(false);
   applyComplete({1});
-  EXPECT_EQ(list[addressOf(1)].startedAt, 0);
+  EXPECT_EQ(list[socketAddress(1)].startedAt, 0);
   now += kSecond;
   applyComplete({1, 2});
-  EXPECT_EQ(list[addressOf(2)].startedAt, now);
+  EXPECT_EQ(list[socketAddress(2)].startedAt, now);
 }
 
 TEST_F(RecordMembership, LargeRemovalWaitsForConfirmation) {
@@ -96,13 +96,13 @@
   now += kSecond;
   applyComplete(range(5));
   EXPECT_EQ(readyServers().size(), 10u);
-  EXPECT_EQ(ruleOf(addressOf(9)), Rule::Confirm);
-  applyComplete(range(5));  // from the same moment: no second response
+  EXPECT_EQ(explainedRule(socketAddress(9)), Rule::Confirm);
+  applyComplete(range(5));  // same time as the first response: does not confirm it
   EXPECT_EQ(readyServers().size(), 10u);
   now += kSecond;
   applyComplete(range(6));
   EXPECT_EQ(readyServers().size(), 6u) << "both responses left them out";
-  EXPECT_EQ(ruleOf(addressOf(5)), Rule::Records);
+  EXPECT_EQ(explainedRule(socketAddress(5)), Rule::Records);
 }
 
 TEST_F(RecordMembership, UnconfirmedRemovalHappensInStepsAfterTheTimeout) {
@@ -161,13 +161,13 @@
   EXPECT_EQ(readyServers().size(), 3u);
 }
 
-// The longer lifetime counts, whichever response is applied first.
-TEST_F(RecordMembership, TwoResponsesFromOneMomentKeepTheLongerLifetime) {
+// The longer lifetime applies, whichever response arrives first.
+TEST_F(RecordMembership, TwoResponsesOfTheSameTimeKeepTheLongerLifetime) {
   start(false);
   applyPartial({1}, 60 * kSecond);
   applyPartial({1}, 5 * kSecond);
   advance(10 * kSecond);
-  EXPECT_EQ(ruleOf(addressOf(1)), Rule::Records);
+  EXPECT_EQ(explainedRule(socketAddress(1)), Rule::Records);
 }
 
 }  // namespace
--- a/tests/membership/roster_test.cpp
+++ b/tests/membership/roster_test.cpp
@@ -1,4 +1,4 @@
-// Membership: what the roster lists, drains and removes, and how records follow it.
+// Membership: additions, drains and removals by the roster, and their precedence over records.
 #include <gtest/gtest.h>
 
 #include "membership_fixture.h"
@@ -26,10 +26,11 @@
   start(true);
   applyRoster(EndpointListKind::Full, {rosterEntry(1), rosterEntry(2)});
   applyComplete({1, 2, 3}, 5 * kSecond);
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2", addressOf(3)}));
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2", socketAddress(3)}));
   advance(3600 * kSecond);
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2"})) << "the server of records alone has left";
-  EXPECT_EQ(ruleOf("s-1"), Rule::RosterExpired);
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2"}))
+      << "the server that only records list has left";
+  EXPECT_EQ(explainedRule("s-1"), Rule::RosterExpired);
 }
 
 TEST_F(RosterMembership, CompleteResponseWithoutARosterServerKeepsItListed) {
@@ -55,7 +56,7 @@
   applyComplete({1, 2, 3});
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-3"}))
       << "records that still list them do not revoke it";
-  EXPECT_EQ(ruleOf(addressOf(2)), Rule::RosterGone);
+  EXPECT_EQ(explainedRule(socketAddress(2)), Rule::RosterGone);
 }
 
 TEST_F(RosterMembership, ServerRemovedByTheRosterReturnsAfterASeenRestart) {
@@ -67,17 +68,19 @@
   applyComplete({1, 2});
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1"}));
   now += kSecond;
-  applyComplete({1});  // the records no longer list it
+  applyComplete({1});  // the records no longer list server 2
   now += kSecond;
   applyComplete({1, 2});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", addressOf(2)}));
-  EXPECT_EQ(ruleOf(addressOf(2)), Rule::TakenBack);
-  EXPECT_EQ(list[addressOf(2)].startedAt, now) << "a new start";
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", socketAddress(2)}));
+  EXPECT_EQ(explainedRule(socketAddress(2)), Rule::TakenBack);
+  EXPECT_EQ(list[socketAddress(2)].startedAt, now) << "the restart is a new start";
   applyRoster(EndpointListKind::Delta, {rosterEntry(2, EndpointState::Ready, now + 5)});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2"})) << "one server under one name";
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", "s-2"}))
+      << "a server is published under one ID only";
 }
 
-// A source that comes up late lists a server that the roster removed before: no restart was seen.
+// The source first lists the server while the roster drains it. Its response after the removal does not
+// indicate a restart, because the source never left the server out.
 TEST_F(RosterMembership, FirstResponseAfterARemovalByTheRosterDoesNotRevokeIt) {
   start(true);
   applyRoster(EndpointListKind::Full, {rosterEntry(1), rosterEntry(2)});
@@ -90,7 +93,7 @@
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1"}));
 }
 
-TEST_F(RosterMembership, OneAddressUnderTwoNamesIsOneServer) {
+TEST_F(RosterMembership, OneAddressUnderTwoTargetsIsOneServer) {
   start(true);
   Observation observation = response({1});
   observation.records.push_back(observation.records[0]);
@@ -100,24 +103,24 @@
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1"}));
 }
 
-TEST_F(RosterMembership, ServerNamedByTheRosterLaterChangesItsNameInOneUpdate) {
+TEST_F(RosterMembership, ServerLaterListedByTheRosterChangesItsIdInOneUpdate) {
   start(true);
   applyRoster(EndpointListKind::Full, {});
   applyComplete({1});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{addressOf(1)}));
+  EXPECT_EQ(readyServers(), (std::set<std::string>{socketAddress(1)}));
   applyRoster(EndpointListKind::Delta, {rosterEntry(1)});
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1"}));
   EXPECT_EQ(lastDecisions.size(), 2u);
 }
 
-TEST_F(RosterMembership, RosterServerThatChangesItsAddressKeepsItsName) {
+TEST_F(RosterMembership, RosterServerThatChangesItsAddressKeepsItsId) {
   start(true);
   applyRoster(EndpointListKind::Full, {rosterEntry(1)});
   applyComplete({1, 2});
   RosterEntry moved = rosterEntry(1);
-  moved.address = addressOf(2);
+  moved.address = socketAddress(2);
   applyRoster(EndpointListKind::Delta, {moved});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", addressOf(1)}))
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", socketAddress(1)}))
       << "only records list the old address now";
 }
 
@@ -125,12 +128,12 @@
   start(true, {rosterEntry(1)});
   applyComplete({1, 2});
   EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1"}));
-  EXPECT_EQ(ruleOf(addressOf(2)), Rule::RosterAwaited);
+  EXPECT_EQ(explainedRule(socketAddress(2)), Rule::RosterAwaited);
   advance(settings.rosterStartupTimeout);
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", addressOf(2)}));
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", socketAddress(2)}));
 }
 
-// From its return on the server is listed by records, and one of the last like any other.
+// After its return the server is listed by records and may be kept as one of the last ready servers.
 TEST_F(RosterMembership, ServerThatReturnedAfterARemovalIsKeptAsTheLastReadyOne) {
   start(true);
   applyRoster(EndpointListKind::Full, {rosterEntry(1)});
@@ -140,14 +143,15 @@
   applyComplete({});
   now += kSecond;
   applyComplete({1});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{addressOf(1)}));
+  EXPECT_EQ(readyServers(), (std::set<std::string>{socketAddress(1)}));
   now += kSecond;
   applyComplete({});
-  EXPECT_EQ(readyServers(), (std::set<std::string>{addressOf(1)}));
-  EXPECT_EQ(ruleOf(addressOf(1)), Rule::KeepLeast);
+  EXPECT_EQ(readyServers(), (std::set<std::string>{socketAddress(1)}));
+  EXPECT_EQ(explainedRule(socketAddress(1)), Rule::KeepLeast);
 }
 
-// Two sources list it, one of them was without it in between. Which record lives longer does not matter.
+// Two sources list the server, but only one has left it out since the removal. The restart is observed
+// although the record of the other source expires later.
 TEST_F(RosterMembership, RestartSeenByOneOfTwoSourcesIsEnough) {
   start(true, {}, {false, false});
   applyRoster(EndpointListKind::Full, {rosterEntry(1), rosterEntry(2)});
@@ -159,7 +163,7 @@
   other.source = 1;
   membership->applyRecords(other, now);
   applyComplete({1, 2}, 10 * kSecond);
-  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", addressOf(2)}));
+  EXPECT_EQ(readyServers(), (std::set<std::string>{"s-1", socketAddress(2)}));
 }
 
 }  // namespace
--- a/tests/membership/rules_property_test.cpp
+++ b/tests/membership/rules_property_test.cpp
@@ -1,4 +1,4 @@
-// Random interleavings of observations: the rules of docs/membership.md hold after every reconciliation.
+// Random interleavings of observations: the rules of docs/membership.md hold after each reconciliation.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace peargrade::membership {
 namespace {
 
-/// Applies steps and checks the rules against the roster and the responses as they were sent.
+/// Applies steps and checks the rules against the applied roster and responses, which it records itself.
 class RulesChecker : public SimulatedMembership {
  public:
   explicit RulesChecker(const Settings& settings)
@@ -24,10 +24,10 @@
   void reconcile() override {
     const ServerList before = list;
     const std::size_t readyBefore = readyCount();
-    const std::set<ServerId> leaving = serversThatLeave();
+    const std::set<ServerId> leaving = leavingServers();
     const auto update = takeUpdate();
     if (update) checkRemovals(*update, before, leaving, readyBefore);
-    if (isRecords(latest_)) RC_ASSERT(readyCount() >= std::min(readyBefore, settings_.minimumReady));
+    if (isRecords(latestStep_)) RC_ASSERT(readyCount() >= std::min(readyBefore, settings_.minimumReady));
     checkRoster();
     checkExplanations();
     checkSchedule();
@@ -40,13 +40,13 @@
   }
 
   void wait(Micros span) {
-    latest_ = Step::Kind::Wait;
+    latestStep_ = Step::Kind::Wait;
     advance(span);
     reconcile();
   }
 
   void applyStep(const Step& step) {
-    latest_ = step.kind;
+    latestStep_ = step.kind;
     switch (step.kind) {
       case Step::Kind::RosterDelta:
         membership.applyRoster(EndpointListKind::Delta, {rosterEntry(step.server, step.state)}, now);
@@ -59,8 +59,8 @@
         return applyFullRoster(step.servers);
       case Step::Kind::Complete:
       case Step::Kind::Partial:
-        noteResponse(step);
-        membership.applyRecords(observationOf(step, now), now);
+        recordResponse(step);
+        membership.applyRecords(makeObservation(step, now), now);
         return reconcile();
       case Step::Kind::Wait:
         return wait(step.span);
@@ -78,10 +78,10 @@
     reconcile();
   }
 
-  void noteResponse(const Step& step) {
+  void recordResponse(const Step& step) {
     const bool complete = step.kind == Step::Kind::Complete;
     if (complete) ++completeResponses_;
-    for (int k = 0; k < kServers; ++k) {
+    for (int k = 0; k < kServerCount; ++k) {
       if (step.servers.count(k) != 0)
         leftOutBy_[k].clear();
       else if (complete)
@@ -89,8 +89,8 @@
     }
   }
 
-  // Those that leave as soon as others are ready, or in the next step.
-  std::set<ServerId> serversThatLeave() const {
+  // Servers that leave once others are ready, or in the next removal step.
+  std::set<ServerId> leavingServers() const {
     std::set<ServerId> leaving;
     for (const Explanation& explanation : membership.explain(now)) {
       const bool leaves = explanation.rule == Rule::KeepLeast || explanation.rule == Rule::Leaving;
@@ -99,36 +99,36 @@
     return leaving;
   }
 
-  // No more than the share is removed at once, except for what two responses left out.
+  // At most the configured share is removed at once, not counting servers that two responses left out.
   void checkRemovals(const MembershipUpdate& update, const ServerList& before,
                      const std::set<ServerId>& leaving, std::size_t readyBefore) {
     std::size_t removed = 0;
     std::size_t unconfirmed = 0;
     for (const Decision& decision : update.decisions) {
       if (decision.state != EndpointState::Removed || decision.rule != Rule::Removed) continue;
-      for (int k = 0; k < kServers; ++k) {
-        if (decision.server != addressOf(k) || leaving.count(decision.server) != 0) continue;
+      for (int k = 0; k < kServerCount; ++k) {
+        if (decision.server != socketAddress(k) || leaving.count(decision.server) != 0) continue;
         const auto found = before.find(decision.server);
         if (found == before.end() || found->second.state != EndpointState::Ready) continue;
         ++removed;
         if (leftOutBy_[k].size() < 2) ++unconfirmed;
       }
     }
-    if (latest_ == Step::Kind::Partial) RC_ASSERT(removed == 0u);
+    if (latestStep_ == Step::Kind::Partial) RC_ASSERT(removed == 0u);
     const double share = std::max(settings_.confirmationShare, settings_.removalStepShare);
     const double removableAtOnce = std::max(1.0, share * static_cast<double>(readyBefore));
     RC_ASSERT(static_cast<double>(unconfirmed) <= removableAtOnce);
   }
 
   void checkRoster() const {
-    for (int k = 0; k < kServers; ++k) {
+    for (int k = 0; k < kServerCount; ++k) {
       const ServerId server = rosterId(k);
       const auto entry = roster_.find(k);
-      RC_ASSERT(!isListed(server) || !isListed(addressOf(k)));  // one server, one name
+      RC_ASSERT(!isListed(server) || !isListed(socketAddress(k)));  // a server has one ID
       if (entry == roster_.end()) {
         RC_ASSERT(!isListed(server));
       } else if (entry->second == EndpointState::Draining) {
-        RC_ASSERT(!isListed(addressOf(k)));
+        RC_ASSERT(!isListed(socketAddress(k)));
         RC_ASSERT(isDraining(server));
       } else {
         RC_ASSERT(isReady(server));
@@ -137,9 +137,9 @@
   }
 
   const Settings settings_;
-  Step::Kind latest_ = Step::Kind::RosterFull;
-  std::map<int, EndpointState> roster_;  // as last sent
-  /// By which complete responses, by number, a server was left out since it was last listed.
+  Step::Kind latestStep_ = Step::Kind::RosterFull;
+  std::map<int, EndpointState> roster_;  // as last applied
+  /// For each server, the numbers of the complete responses that left it out since it was last listed.
   std::map<int, std::set<std::size_t>> leftOutBy_;
   std::size_t completeResponses_ = 0;
 };
--- a/tests/membership/tiers_test.cpp
+++ b/tests/membership/tiers_test.cpp
@@ -8,7 +8,7 @@
 
 class TierMembership : public MembershipTest {
  protected:
-  /// Gives the records from index `from` on a priority.
+  /// Sets the priority of the records from index `from` on.
   static Observation withPriority(Observation observation, std::size_t from, int priority) {
     for (std::size_t k = from; k < observation.records.size(); ++k)
       observation.records[k].priority = priority;
@@ -24,9 +24,9 @@
   observation.records[2].weight = 0;
   membership->applyRecords(observation, now);
   reconcile();
-  EXPECT_NEAR(list[addressOf(1)].weight, 2.25, 1e-9);
-  EXPECT_NEAR(list[addressOf(2)].weight, 0.75, 1e-9);
-  EXPECT_EQ(list[addressOf(3)].weight, 0.02) << "a very small share, not none";
+  EXPECT_NEAR(list[socketAddress(1)].weight, 2.25, 1e-9);
+  EXPECT_NEAR(list[socketAddress(2)].weight, 0.75, 1e-9);
+  EXPECT_EQ(list[socketAddress(3)].weight, 0.02) << "a weight of 0 is a very small share, not none";
   now += kSecond;
   observation.asOf = now;
   observation.records[0].weight = 31;
@@ -48,16 +48,18 @@
   applyRoster(EndpointListKind::Full, entries);
   membership->applyRecords(withPriority(response(range(10), 3600 * kSecond), 6, 20), now);
   reconcile();
-  // They were listed before records told their tier, and leave in steps as the upper tier is complete.
+  // Servers 6 to 9 were listed before records stated their tier. They leave in steps because the upper tier
+  // is complete.
   advance(60 * kSecond);
   EXPECT_EQ(readyServers().size(), 6u);
   EXPECT_EQ(list["s-9"].state, EndpointState::Draining);
   applyRoster(EndpointListKind::Delta,
               {rosterEntry(0, EndpointState::Draining), rosterEntry(1, EndpointState::Draining),
                rosterEntry(2, EndpointState::Removed)});
-  EXPECT_EQ(readyServers().size(), 3u) << "half of the upper tier is usable: not below the share";
+  EXPECT_EQ(readyServers().size(), 3u)
+      << "half of the upper tier is usable, which is not below tierJoinShare";
   applyRoster(EndpointListKind::Delta, {rosterEntry(3, EndpointState::Draining)});
-  EXPECT_EQ(readyServers().size(), 6u) << "below it: the lower tier joins at once";
+  EXPECT_EQ(readyServers().size(), 6u) << "below tierJoinShare, the lower tier joins at once";
   applyRoster(EndpointListKind::Delta, {rosterEntry(3), rosterEntry(1), rosterEntry(0)});
   advance(60 * kSecond);
   EXPECT_EQ(readyServers().size(), 5u);
@@ -69,14 +71,15 @@
   membership->applyRecords(withPriority(response(range(4)), 2, 20), now);
   reconcile();
   EXPECT_EQ(readyServers().size(), 2u);
-  EXPECT_EQ(ruleOf(addressOf(3)), Rule::Standby);
+  EXPECT_EQ(explainedRule(socketAddress(3)), Rule::Standby);
   now += kSecond;
   membership->applyRecords(withPriority(response({2, 3}), 0, 20), now);
   reconcile();
   now += kSecond;
   membership->applyRecords(withPriority(response({2, 3}), 0, 20), now);
   reconcile();
-  EXPECT_EQ(readyServers(), (std::set<std::string>{addressOf(2), addressOf(3)})) << "the upper tier has left";
+  EXPECT_EQ(readyServers(), (std::set<std::string>{socketAddress(2), socketAddress(3)}))
+      << "the upper tier is removed";
 }
 
 TEST_F(TierMembership, LowerTierDoesNotLeaveWithTheLastReadyServers) {
