--- a/src/membership/listing_rules.h
+++ b/src/membership/listing_rules.h
@@ -35,7 +35,7 @@
   DesiredState desiredByRecords(const std::string& address, const AddressState& state, Micros now) const;
 
   /// The view whose record determines the published values. Unexpired and confirmed views rank first, then
-  /// lower priority, higher weight and later expiry. nullptr if no source lists the address.
+  /// lower priority numbers, higher weight and later expiry. nullptr if no source lists the address.
   const RecordView* bestView(const AddressState& state, Micros now) const;
   /// Whether the tier of the view's record is in use.
   bool isTierInUse(const RecordView& view) const;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -103,8 +103,8 @@
   void applyAuthority(AddressState& state, const RecordView& view, const ServiceRecord& record);
   void updateStart(AddressState& state, const ServiceRecord& record, Micros asOf, bool warm) const;
   void applyAbsences(const Observation& observation, Micros now);
-  bool removalCostsReadyServer(const std::string& address, const AddressState& state,
-                               const RecordView& view) const;
+  bool removalAffectsReadyServer(const std::string& address, const AddressState& state,
+                                 const RecordView& view) const;
   void removeRecord(const std::string& address, AddressState& state, RecordView& view, Micros asOf);
   void recountTiers(std::size_t source, Micros now);
   void updateTiers(Micros now);
--- a/src/membership/observation.h
+++ b/src/membership/observation.h
@@ -24,7 +24,7 @@
   std::string address;
   /// Target of the SRV record, in canonical form.
   std::string target;
-  /// Priority of RFC 2782: servers of the lowest number are used first.
+  /// Priority of RFC 2782: servers with the lowest number are used first.
   int priority = 0;
   /// Weight of RFC 2782.
   double weight = 0;
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -118,7 +118,7 @@
     RecordView& view = state.views[observation.source];
     if (!leavesOut(observation, offered, address, view)) continue;
     const bool confirms = view.isUnconfirmed() && view.leftOutAt < observation.asOf;
-    if (confirms || !removalCostsReadyServer(address, state, view))
+    if (confirms || !removalAffectsReadyServer(address, state, view))
       removeRecord(address, state, view, observation.asOf);
     else if (!view.isUnconfirmed())
       unconfirmed.push_back(address);
@@ -138,9 +138,9 @@
   }
 }
 
-// Whether removing the record may remove a ready server from the list.
-bool Membership::removalCostsReadyServer(const std::string& address, const AddressState& state,
-                                         const RecordView& view) const {
+// Whether removing the record may take a ready server off the list.
+bool Membership::removalAffectsReadyServer(const std::string& address, const AddressState& state,
+                                           const RecordView& view) const {
   const bool authority = known_.sources[view.source].authority;
   const bool onlySource = std::none_of(state.views.begin(), state.views.end(), [&](const RecordView& other) {
     return &other != &view && other.isPresent();
