--- a/include/peargrade/actions.h
+++ b/include/peargrade/actions.h
@@ -1,5 +1,6 @@
-// What the decision engine asks for. Actions take effect in their order; those from SetRoute to
-// AcknowledgementRequest form one update of the proxies.
+// The actions that the decision engine returns and its caller executes, in the order in which they are
+// returned. SetRoute, ClearTable, SetEjection and SetAdmission up to the next AcknowledgementRequest,
+// inclusive, form one update of the proxies.
 #pragma once
 
 #include <string>
@@ -10,31 +11,32 @@
 
 namespace peargrade {
 
-/// TimerFired with the same token is due after `delay` microseconds.
+/// Requests a TimerFired event with the same token after `delay` microseconds.
 struct SetTimer {
   Micros delay = 0;
   std::string token;
 };
 
-/// Subscribes to the endpoint list, or ends the subscription.
+/// Starts or ends the watch on the endpoint list.
 struct WatchEndpoints {
   bool enabled = true;
 };
 
-/// Asks once for the whole endpoint list.
+/// Requests the full endpoint list once.
 struct PollEndpoints {};
 
-/// Sends one health check to a server; HealthCheckResult follows.
+/// Sends one health check to a server. A HealthCheckResult event reports the outcome.
 struct HealthCheck {
   ServerId server;
 };
 
-/// Sends bytes to every other supervisor.
+/// Sends a payload to every other supervisor, where it arrives as GossipReceived.
 struct SendGossip {
   std::string payload;
 };
 
-/// Sets the weight of a server in a table: proxies choose among the routes in proportion to their weights.
+/// Sets the weight of a server in a routing table. Proxies distribute requests over the routes of a table in
+/// proportion to their weights.
 struct SetRoute {
   TableId table = 0;
   ServerId server;
@@ -49,31 +51,32 @@
 
 enum class EjectionState { Ejected, Readmitted };
 
-/// Takes a server out of all tables, whatever routes name it, or lets its routes count again.
+/// Ejects or readmits a server. Proxies ignore every route to an ejected server, in all tables, until it is
+/// readmitted.
 struct SetEjection {
   ServerId server;
   EjectionState state = EjectionState::Ejected;
 };
 
-/// Sets what part of the requests of some classes proxies admit and how they retry.
+/// Sets the admission ratio and the retry policy of some request classes.
 struct SetAdmission {
   TableId table = kAllTables;
-  /// Sum of 2^k over the classes k; 0: all.
+  /// Bit k selects request class k. 0 selects all classes.
   unsigned classMask = 0;
-  /// Admitted share of the requests, 0 to 1. The rest is rejected at once.
+  /// Share of the requests that proxies admit, 0 to 1. They reject the others immediately.
   double ratio = 1;
   RetryPolicy retryPolicy = RetryPolicy::Never;
 };
 
-/// Ends an update: each proxy that has applied it answers with UpdateAcknowledged.
+/// Ends an update. Each proxy that has applied the update acknowledges it (event UpdateAcknowledged).
 struct AcknowledgementRequest {
-  /// 0 to 65535, ascending, then again from 0.
+  /// 0 to 65535, incremented for each update; wraps around to 0.
   int updateId = 0;
-  /// Whether the update is also sent to proxies that none of its tables concerns.
+  /// Whether the update is also sent to proxies that use none of the changed tables.
   bool everyProxy = false;
 };
 
-/// A line for the log, for people.
+/// Writes a line to the log, for operators.
 struct Log {
   std::string text;
 };
--- a/include/peargrade/decision_engine.h
+++ b/include/peargrade/decision_engine.h
@@ -1,6 +1,6 @@
-// The decision engine: turns what one supervisor learns of its fleet into routes, admission ratios, retry
-// policies and ejections. It knows no wire format, no socket, no clock and no thread; codecs (src/wire,
-// src/relay, src/clients, src/discovery) translate to and from its events and actions.
+// The decision engine of one supervisor: computes routes, admission ratios, retry policies and ejections from
+// the events of its fleet. It performs no I/O, reads no clock and starts no threads. Codecs in src/wire,
+// src/relay, src/clients and src/discovery translate between wire formats and its events and actions.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,20 @@
 
 namespace peargrade {
 
-/// The decisions of one supervisor. Identical seeds, settings and events give identical actions; nothing is
-/// shared between engines. Not thread-safe.
+/// Deterministic: identical seeds, settings and events give identical actions. Engines share no state. Not
+/// thread-safe.
 class DecisionEngine {
  public:
-  /// `seed` breaks ties, so that supervisors with different seeds choose differently among equals.
+  /// `seed`: seeds the random numbers that break ties. Supervisors need different seeds, so that they do not
+  /// all choose the same one of several equal servers.
   DecisionEngine(std::uint64_t seed, const Settings& settings);
   ~DecisionEngine();
   DecisionEngine(DecisionEngine&&) noexcept;
   DecisionEngine& operator=(DecisionEngine&&) noexcept;
 
-  /// Takes in `events`, all of which happened at `now` (Unix time in microseconds, never decreasing), and
-  /// returns what has to be done, in order. Events with unknown ids are ignored.
+  /// Handles a batch of events that arrived at `now` and returns the resulting actions, in execution order.
+  /// `now`: Unix time in microseconds; must not decrease from call to call. Events with unknown ids are
+  /// ignored.
   std::vector<Action> handle(Micros now, const std::vector<Event>& events);
 
  private:
--- a/include/peargrade/events.h
+++ b/include/peargrade/events.h
@@ -1,5 +1,5 @@
-// What the decision engine is told: the endpoint list, load reports, proxies, slices, and what became of its
-// updates.
+// The input events of the decision engine: endpoint list updates, timers, health check results, proxy
+// connections, load reports, slice assignments, delivery outcomes of updates, and changed settings.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,16 @@
 
 enum class EndpointState { Ready, Draining, Removed };
 
-/// One server of the endpoint list.
+/// An entry of the endpoint list: one server.
 struct Endpoint {
   ServerId server;
-  /// Capacity against other endpoints, over 0; counts only where Settings::endpointsHaveWeights.
+  /// Capacity relative to other endpoints, greater than 0. Used only with
+  /// Settings::endpointsHaveWeights.
   double weight = 1;
-  /// Start of the process, Unix time in microseconds; 0: long ago. A later start is a new, empty and cold
-  /// server.
+  /// When the server process started, Unix time in microseconds; 0: long ago. A later time than
+  /// before means that the server has restarted with cold caches.
   Micros startedAt = 0;
-  /// Failure domains and machine type, as numbers.
+  /// Failure domains (cell and zone) and machine type, as numbers.
   int cell = 0;
   int zone = 0;
   int kind = 0;
@@ -32,8 +33,8 @@
 };
 
 enum class EndpointListKind {
-  Delta,   // changes of single endpoints
-  Full,    // the whole list: what it does not name is no longer listed
+  Delta,   // only endpoints that changed
+  Full,    // the complete list: endpoints that it omits are no longer listed
   Cached,  // the list as stored before this supervisor started; may be out of date
   Failed,  // the watch or poll failed; no endpoints
 };
@@ -47,22 +48,22 @@
 
 // ---- Timers, health checks, gossip ----
 
-/// A SetTimer has run out.
+/// The timer of a SetTimer action has expired.
 struct TimerFired {
   std::string token;
 };
 
 enum class HealthCheckOutcome { Passed, Error, Rejected, Timeout, Unreachable, ConnectionLost };
 
-/// The result of a HealthCheck.
+/// The result of a HealthCheck action.
 struct HealthCheckResult {
   ServerId server;
   HealthCheckOutcome outcome = HealthCheckOutcome::Passed;
-  /// Microseconds.
+  /// Time from the request to the result, in microseconds.
   Micros duration = 0;
 };
 
-/// A SendGossip of another supervisor; not used by the engine.
+/// The payload of a SendGossip action of another supervisor. Not used by the engine.
 struct GossipReceived {
   int from = 0;
   std::string payload;
@@ -70,13 +71,13 @@
 
 // ---- Proxies ----
 
-/// A proxy has connected, or is announced again by a new watch of the relay.
+/// A proxy has connected, or a new watch of the relay lists a connected proxy again.
 struct ProxyConnected {
   ProxyId proxy = 0;
   int zone = 0;
-  /// Requests a second that it usually receives; not used by the engine.
+  /// Requests a second that the proxy usually receives. Not used by the engine.
   double expectedRequestRate = 0;
-  /// Whether it holds no route that was ever set, as after a start of its process.
+  /// Whether the proxy process has restarted and holds none of the routes published so far.
   bool newIncarnation = false;
 };
 
@@ -84,21 +85,21 @@
   ProxyId proxy = 0;
 };
 
-// ---- Load reports, each over a window that ended about a second ago ----
+// ---- Load reports: each covers a window that ended about a second before it arrives ----
 
-/// Attempts of the connected proxies of one zone at one server.
+/// Attempts that the connected proxies of one zone sent to one server.
 struct ServerLoadReport {
   int zone = 0;
   ServerId server;
   std::int64_t attempts = 0;
   std::int64_t failures = 0;
-  /// Mean of the successful attempts, in microseconds; 0: none succeeded.
+  /// Mean latency of the successful attempts, in microseconds; 0: no attempt succeeded.
   Micros meanLatency = 0;
-  /// Microseconds.
+  /// Length of the reported window, in microseconds.
   Micros window = 0;
 };
 
-/// Requests that came to a proxy, where tables are per proxy; not used by the engine.
+/// Requests that a proxy received, where tables are per proxy. Not used by the engine.
 struct ProxyLoadReport {
   ProxyId proxy = 0;
   int requestClass = 0;
@@ -107,7 +108,7 @@
   Micros window = 0;
 };
 
-/// Requests that came for a slice, admitted or not.
+/// Requests that proxies received for a slice, including those that they rejected.
 struct SliceLoadReport {
   TableId slice = 0;
   int requestClass = 0;
@@ -118,51 +119,52 @@
 
 // ---- Slices of this supervisor ----
 
-/// A slice was assigned to this supervisor, or was taken from it. The routes that the store holds follow as
-/// StoredRoute.
+/// A slice was assigned to this supervisor or withdrawn from it. After an assignment, StoredRoute events give
+/// the stored routes of the slice.
 struct SliceAssignment {
   TableId slice = 0;
   bool assigned = false;
 };
 
-/// A route that the store holds for a slice of this supervisor.
+/// A stored route of a slice that is assigned to this supervisor.
 struct StoredRoute {
   TableId slice = 0;
   ServerId server;
   double weight = 0;
 };
 
-// ---- What became of updates ----
+// ---- Delivery of updates ----
 
 enum class DeliveryOutcome {
-  Accepted,    // the whole update is in the channel
-  Incomplete,  // some or all of its actions are not, or it is unknown which
+  Accepted,    // the update channel has accepted the complete update
+  Incomplete,  // some or all actions of the update were not accepted, or it is unknown which
 };
 
-/// What became of the update that ended with the AcknowledgementRequest of this id; only where
-/// Settings::deliveryReported.
+/// The delivery outcome of the update whose AcknowledgementRequest has this id. Sent only if
+/// Settings::deliveryReported is set.
 struct UpdateDelivery {
   int updateId = 0;
   DeliveryOutcome outcome = DeliveryOutcome::Incomplete;
-  /// Messages that went to each proxy for it, or may have.
+  /// Messages that were, or may have been, sent to each proxy for this update.
   int messages = 1;
 };
 
-/// A proxy has applied an update and all before it.
+/// A proxy has applied this update and all earlier ones.
 struct UpdateAcknowledged {
   ProxyId proxy = 0;
   int updateId = 0;
-  /// From its entry into the channel, in microseconds; not used by the engine.
+  /// Time from acceptance by the update channel to the acknowledgement, in microseconds. Not used by the
+  /// engine.
   Micros delay = 0;
 };
 
-/// UpdateAcknowledged events may have been missed; those of later updates will come. What was sent before
-/// counts as in flight until an acknowledgement of a later update shows that it is not.
+/// UpdateAcknowledged events may have been lost. Updates sent before this event count as in flight until a
+/// later update is acknowledged.
 struct AcknowledgementsMissed {};
 
-/// Other settings, as a whole, from here on: decisions of this batch and later follow them. The classes in
-/// number and order, `slices`, `proxies`, `sliceOwnership` and `admissionUnit` are those of the start; with
-/// another number of classes the event is ignored.
+/// Replaces all settings, from the decisions of this batch on. The number and order of the classes, `slices`,
+/// `proxies`, `sliceOwnership` and `admissionUnit` must not change; the event is ignored if the number of
+/// classes differs.
 struct SettingsChanged {
   Settings settings;
 };
--- a/include/peargrade/types.h
+++ b/include/peargrade/types.h
@@ -1,4 +1,4 @@
-// Identifiers and the unit of time that the decision engine's settings, events and actions share.
+// Identifier types and the time unit used in the settings, events and actions of the decision engine.
 #pragma once
 
 #include <cstdint>
@@ -6,19 +6,19 @@
 
 namespace peargrade {
 
-/// A time or duration in microseconds. Points in time are Unix time as the caller's clock shows it.
+/// A duration, or a point in time as Unix time by the caller's clock. Microseconds.
 using Micros = std::int64_t;
 
-/// A server's id as the endpoint list names it: printable, opaque, without meaning to the engine.
+/// The id of a server in the endpoint list: printable, opaque to the engine.
 using ServerId = std::string;
 
-/// A proxy's number, 0 to 65535.
+/// The number of a proxy, 0 to 65535.
 using ProxyId = int;
 
-/// A routing table's number: a slice's, or a proxy's where tables are per proxy.
+/// The number of a routing table: that of its slice, or of its proxy if Settings::slices is 0.
 using TableId = int;
 
-/// In an action on a table: every table of this supervisor.
+/// As the table of an action: all tables of this supervisor.
 constexpr TableId kAllTables = 65535;
 
 }  // namespace peargrade
