--- a/src/decision/backup_assigner.cpp
+++ b/src/decision/backup_assigner.cpp
@@ -8,7 +8,7 @@
 namespace peargrade::decision {
 namespace {
 
-/// Weight of a backup route, as a share of the primary one's.
+/// Ratio of the weight of a backup route to the weight of the primary route.
 constexpr double kBackupShare = 0.001;
 
 }  // namespace
@@ -16,38 +16,38 @@
 void BackupAssigner::assign(const ServerMap& servers, SliceMap& slices) {
   if (settings_.hasSingleOwnerSlices()) return;
   findCandidates(servers);
-  std::map<ServerId, Uses> usesByPrimary;
+  std::map<ServerId, UseCounts> useCountsByPrimary;
   std::vector<SliceState*> withoutBackup;
   for (auto& [table, slice] : slices) {
     if (slice.primary.empty()) continue;
-    Uses& uses = usesByPrimary[slice.primary];
-    uses.resize(candidates_.size());
-    if (!keepBackups(servers, slice, uses)) withoutBackup.push_back(&slice);
+    UseCounts& useCounts = useCountsByPrimary[slice.primary];
+    useCounts.resize(candidates_.size());
+    if (!retainBackups(servers, slice, useCounts)) withoutBackup.push_back(&slice);
   }
-  for (SliceState* slice : withoutBackup) addBackup(servers, *slice, usesByPrimary[slice->primary]);
+  for (SliceState* slice : withoutBackup) addBackup(servers, *slice, useCountsByPrimary[slice->primary]);
 }
 
 void BackupAssigner::findCandidates(const ServerMap& servers) {
   candidates_.clear();
-  indexOf_.clear();
+  candidateIndices_.clear();
   for (const auto& [id, server] : servers) {
     if (!server.isUsable() || slowStart_.isWarmingUp(server)) continue;
-    indexOf_[id] = candidates_.size();
+    candidateIndices_[id] = candidates_.size();
     candidates_.push_back({&id, server.endpoint.zone});
   }
 }
 
-bool BackupAssigner::keepBackups(const ServerMap& servers, SliceState& slice, Uses& uses) const {
+bool BackupAssigner::retainBackups(const ServerMap& servers, SliceState& slice, UseCounts& useCounts) const {
   bool hasBackup = false;
   for (auto route = slice.desired.begin(); route != slice.desired.end();) {
     const bool isPrimary = route->first == slice.primary;
-    // A cached list may not know a new server yet.
+    // A cached endpoint list may not contain a new server yet, so that its route must not be removed.
     const bool mayBeNew = !endpoints_.isCurrent() && !servers.at(route->first).isListed;
     const bool mustStay = isPrimary || mayBeNew;
-    const auto candidate = mustStay ? indexOf_.end() : indexOf_.find(route->first);
-    const bool isBackup = candidate != indexOf_.end();
+    const auto candidate = mustStay ? candidateIndices_.end() : candidateIndices_.find(route->first);
+    const bool isBackup = candidate != candidateIndices_.end();
     if (isBackup) {
-      ++uses[candidate->second];
+      ++useCounts[candidate->second];
       route->second = std::min(route->second, slice.desired[slice.primary] * kBackupShare);
       hasBackup = true;
     }
@@ -56,22 +56,22 @@
   return hasBackup;
 }
 
-void BackupAssigner::addBackup(const ServerMap& servers, SliceState& slice, Uses& uses) {
+void BackupAssigner::addBackup(const ServerMap& servers, SliceState& slice, UseCounts& useCounts) {
   const int primaryZone = servers.at(slice.primary).endpoint.zone;
-  // Uses by the same primary, in its zone, chance.
+  // Compared in this order: backups for the same primary server, whether it is in the same zone, random.
   std::tuple<int, bool, double> best{std::numeric_limits<int>::max(), true, 0};
-  std::size_t chosen = candidates_.size();
+  std::size_t bestIndex = candidates_.size();
   for (std::size_t k = 0; k < candidates_.size(); ++k) {
     const Candidate& candidate = candidates_[k];
     if (*candidate.server == slice.primary) continue;
-    const std::tuple<int, bool, double> rank{uses[k], candidate.zone == primaryZone, random_.uniform()};
+    const std::tuple<int, bool, double> rank{useCounts[k], candidate.zone == primaryZone, random_.uniform()};
     if (rank >= best) continue;
     best = rank;
-    chosen = k;
+    bestIndex = k;
   }
-  if (chosen == candidates_.size()) return;
-  slice.desired[*candidates_[chosen].server] = slice.desired[slice.primary] * kBackupShare;
-  ++uses[chosen];
+  if (bestIndex == candidates_.size()) return;
+  slice.desired[*candidates_[bestIndex].server] = slice.desired[slice.primary] * kBackupShare;
+  ++useCounts[bestIndex];
 }
 
 }  // namespace peargrade::decision
--- a/src/decision/backup_assigner.h
+++ b/src/decision/backup_assigner.h
@@ -1,4 +1,4 @@
-// Backup routes: each slice has a second server of very small weight.
+// Backup routes: gives each slice a second route, with a very small weight, for retries.
 #pragma once
 
 #include <map>
@@ -13,9 +13,9 @@
 
 namespace peargrade::decision {
 
-/// Keeps one backup route in each desired table, so that a proxy has where to retry when the primary server
-/// is down, rejects requests or cannot be reached: in another zone if there is one, and the backups of one
-/// primary spread over many servers. None where a slice may have a single owner.
+/// Maintains one backup route in each desired table, so that proxies can retry at another server when the
+/// primary server is down, rejects requests or is unreachable. Prefers a server in another zone, and spreads
+/// the backups of one primary server over many servers. Single-owner slices have no backup routes.
 class BackupAssigner {
  public:
   BackupAssigner(const Settings& settings, const EndpointList& endpoints, const SlowStart& slowStart,
@@ -30,20 +30,22 @@
     const ServerId* server;
     int zone;
   };
-  using Uses = std::vector<int>;  // by candidate, of how many slices of one primary it is the backup
+  /// For one primary server: the number of its slices that have each candidate as their backup.
+  using UseCounts = std::vector<int>;
 
   void findCandidates(const ServerMap& servers);
-  /// Drops the routes that are no backup. Returns whether one is left.
-  bool keepBackups(const ServerMap& servers, SliceState& slice, Uses& uses) const;
-  void addBackup(const ServerMap& servers, SliceState& slice, Uses& uses);
+  /// Removes routes to servers that are neither the primary server nor a candidate, and counts the remaining
+  /// backups in `useCounts`. Returns whether the slice has a backup route.
+  bool retainBackups(const ServerMap& servers, SliceState& slice, UseCounts& useCounts) const;
+  void addBackup(const ServerMap& servers, SliceState& slice, UseCounts& useCounts);
 
   const Settings& settings_;
   const EndpointList& endpoints_;
   const SlowStart& slowStart_;
   Random& random_;
-  // Found for each decision.
+  // Updated for each decision.
   std::vector<Candidate> candidates_;
-  std::map<ServerId, std::size_t> indexOf_;
+  std::map<ServerId, std::size_t> candidateIndices_;
 };
 
 }  // namespace peargrade::decision
--- a/src/decision/clock.h
+++ b/src/decision/clock.h
@@ -1,4 +1,4 @@
-// Units of time, and the time of the batch of events that the engine handles.
+// Time units, and the clock of the decision engine.
 #pragma once
 
 #include "peargrade/types.h"
@@ -8,7 +8,8 @@
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kSecond = 1000 * kMillisecond;
 
-/// The time of the batch being handled. The engine advances it; components only read it.
+/// The time of the batch of events that is being handled. The engine advances it for each batch; components
+/// only read it.
 class Clock {
  public:
   [[nodiscard]] Micros now() const { return now_; }
--- a/src/decision/decaying_sum.h
+++ b/src/decision/decaying_sum.h
@@ -1,4 +1,4 @@
-// A sum with exponential decay.
+// A sum whose addends decay exponentially with their age.
 #pragma once
 
 #include <cmath>
@@ -7,8 +7,8 @@
 
 namespace peargrade::decision {
 
-/// A sum that decays exponentially: an amount added one time constant ago counts 1/e. Every call on one
-/// object has to name the same time constant, in microseconds.
+/// An addend that was added one time constant ago counts with 1/e of its value. All calls on one object must
+/// pass the same time constant, in microseconds.
 class DecayingSum {
  public:
   void add(Micros now, double amount, Micros timeConstant) {
--- a/src/decision/evacuation.cpp
+++ b/src/decision/evacuation.cpp
@@ -9,8 +9,8 @@
 namespace peargrade::decision {
 
 void Evacuation::evacuate(ServerMap& servers, SliceMap& slices) {
-  const double typicalPressure = medianPressure(servers);
-  std::vector<std::tuple<bool, double, TableId>> order;  // has a primary, heat downwards, table
+  const double fleetPressure = medianPressure(servers);
+  std::vector<std::tuple<bool, double, TableId>> order;  // has a primary server, negated heat, table
   for (const auto& [table, slice] : slices) {
     if (reasonToLeave(servers, slice) != nullptr)
       order.emplace_back(!slice.primary.empty(), -slice.heat, table);
@@ -19,29 +19,29 @@
   for (const auto& entry : order) {
     const TableId table = std::get<TableId>(entry);
     SliceState& slice = slices.at(table);
-    const ServerId to = target(servers, slice, typicalPressure);
+    const ServerId to = target(servers, slice, fleetPressure);
     if (to.empty()) continue;
     migrator_.migrate(servers, table, slice, to, reasonToLeave(servers, slice));
     slice.hasUnpublishedEvacuation = true;
   }
 }
 
-ServerId Evacuation::target(const ServerMap& servers, const SliceState& slice, double typicalPressure) {
+ServerId Evacuation::target(const ServerMap& servers, const SliceState& slice, double fleetPressure) {
   const auto canAbsorb = [&](const ServerState& server) {
     return placement_.acceptsSlices(server) && slowStart_.canAbsorb(server, slice.heat, load_.fleetScale());
   };
-  ServerId to = placement_.coolest(servers, slice, typicalPressure, canAbsorb);
+  ServerId to = placement_.coolest(servers, slice, fleetPressure, canAbsorb);
   if (!to.empty()) return to;
   const auto accepts = [&](const ServerState& server) { return placement_.acceptsSlices(server); };
-  to = placement_.coolest(servers, slice, typicalPressure, accepts);
+  to = placement_.coolest(servers, slice, fleetPressure, accepts);
   if (!to.empty()) return to;
   if (isReadmissionPending(servers, slice.primary)) return {};
   const auto isReady = [](const ServerState& server) { return server.isReady(); };
-  return placement_.coolest(servers, slice, typicalPressure, isReady);
+  return placement_.coolest(servers, slice, fleetPressure, isReady);
 }
 
-// Another ejected server would be no better, and each migration leaves a route that has to be removed before
-// the readmission.
+// Such a slice must not migrate to another ejected server: that server is no better, and the migration leaves
+// a stale route that has to be removed before the old server can be readmitted.
 bool Evacuation::isReadmissionPending(const ServerMap& servers, const ServerId& id) {
   const auto it = servers.find(id);
   if (it == servers.end()) return false;
--- a/src/decision/evacuation.h
+++ b/src/decision/evacuation.h
@@ -1,4 +1,4 @@
-// Evacuation: slices leave servers that cannot keep them.
+// Evacuation: migrates slices off servers that can no longer serve them.
 #pragma once
 
 #include "decision/endpoint_list.h"
@@ -11,8 +11,9 @@
 
 namespace peargrade::decision {
 
-/// Migrates slices without a primary server, then those whose primary is draining, gone, an outlier, ejected
-/// or has restarted: the hottest first, each to the coolest server as the migrations before it leave things.
+/// First assigns slices without a primary server, then migrates slices whose primary server is draining,
+/// removed, an outlier, ejected or restarted. The hottest slice is handled first. Each is placed on the
+/// coolest server given the migrations before it.
 class Evacuation {
  public:
   Evacuation(const EndpointList& endpoints, const SlowStart& slowStart, const LoadEstimator& load,
@@ -27,12 +28,12 @@
   void evacuate(ServerMap& servers, SliceMap& slices);
 
  private:
-  /// Why a slice must leave its primary server now, as a word for the log; nullptr: it need not.
+  /// The reason, for the log, why a slice must leave its primary server; nullptr: it can stay.
   [[nodiscard]] const char* reasonToLeave(const ServerMap& servers, const SliceState& slice) const;
-  /// Whether a server is ready and only waits to be readmitted.
+  /// Whether a server is ready and no outlier, but its readmission has not been published yet.
   [[nodiscard]] static bool isReadmissionPending(const ServerMap& servers, const ServerId& id);
-  /// Where the slice goes; empty: it stays.
-  [[nodiscard]] ServerId target(const ServerMap& servers, const SliceState& slice, double typicalPressure);
+  /// The server that the slice migrates to; empty: the slice stays where it is.
+  [[nodiscard]] ServerId target(const ServerMap& servers, const SliceState& slice, double fleetPressure);
 
   const EndpointList& endpoints_;
   const SlowStart& slowStart_;
--- a/src/decision/hotspot_rule.cpp
+++ b/src/decision/hotspot_rule.cpp
@@ -5,14 +5,15 @@
 namespace peargrade::decision {
 namespace {
 
-/// A server is slow from so many times its own least latency, or the median pressure.
+/// A server is slow if its latency exceeds this multiple of its own minimum, or its pressure this multiple of
+/// the median pressure.
 constexpr double kSlowFactor = 2;
-/// Consecutive slow and heavy reports that make a server hot.
+/// Number of consecutive reports with high latency and high heat after which a server is hot.
 constexpr int kHotReports = 3;
-/// A controller waits a random one to three periods between two migrations off one server.
-constexpr Micros kPeriod = 2 * kSecond;
-/// A server that started within this time is no target.
-constexpr Micros kLeastTargetAge = 10 * kSecond;
+/// The time between two migrations off the same server is random, one to three times this period.
+constexpr Micros kMigrationPeriod = 2 * kSecond;
+/// Minimum time since its start before a server is a target of this rule.
+constexpr Micros kMinTargetAge = 10 * kSecond;
 
 bool isHot(const ServerState& server) { return server.hotspot.hotReports >= kHotReports; }
 
@@ -20,26 +21,26 @@
 
 void HotspotRule::detect(ServerMap& servers) {
   const Micros now = clock_.now();
-  const double typicalPressure = medianPressure(servers);
+  const double fleetPressure = medianPressure(servers);
   for (auto& [id, server] : servers) {
     HotspotRecord& hotspot = server.hotspot;
     if (server.reports.reportedAt <= hotspot.evaluatedAt) continue;
     if (now - hotspot.evaluatedAt < settings_.reportInterval) continue;
     hotspot.evaluatedAt = now;
     const bool isHeavy = load_.usableWeight() > 0 && load_.heatOn(server) > load_.fairHeat(server);
-    const bool showsLastMigration = now >= hotspot.relievedAt + pressure_.settlingTime();
-    const bool isHotReport = isSlow(server, typicalPressure) && isHeavy && showsLastMigration;
+    const bool reflectsLastMigration = now >= hotspot.relievedAt + pressure_.settlingTime();
+    const bool isHotReport = isSlow(server, fleetPressure) && isHeavy && reflectsLastMigration;
     hotspot.hotReports = isHotReport ? hotspot.hotReports + 1 : 0;
   }
 }
 
-// A server that was overloaded in every report has no low latency of its own: the fleet's pressure stands for
-// it.
-bool HotspotRule::isSlow(const ServerState& server, double typicalPressure) {
+// The minimum of a server that was overloaded in every report is high too. Such a server is compared with the
+// median pressure of the fleet instead.
+bool HotspotRule::isSlow(const ServerState& server, double fleetPressure) {
   const ReportedLoad& reports = server.reports;
   const double leastLatency = reports.latencies.minimum();
   if (leastLatency > 0 && reports.latency > kSlowFactor * leastLatency) return true;
-  return typicalPressure > 0 && reports.pressure > std::max(kRelaxedPressure, kSlowFactor * typicalPressure);
+  return fleetPressure > 0 && reports.pressure > std::max(kRelaxedPressure, kSlowFactor * fleetPressure);
 }
 
 void HotspotRule::relieve(ServerMap& servers, SliceMap& slices) {
@@ -51,24 +52,25 @@
   }
   if (hot == usable || slowStart_.isFleetOverloaded()) return;
   const Micros now = clock_.now();
-  const double typicalPressure = medianPressure(servers);
+  const double fleetPressure = medianPressure(servers);
   for (auto& [id, server] : servers) {
-    if (!server.isUsable() || !isHot(server) || now < server.migrations.nextOffAt) continue;
+    if (!server.isUsable() || !isHot(server) || now < server.migrations.nextMigrationOffAt) continue;
     const auto target = [&](const SliceState& slice) {
-      return placement_.coolest(servers, slice, typicalPressure,
+      return placement_.coolest(servers, slice, fleetPressure,
                                 [&](const ServerState& candidate) { return isTarget(candidate, slice); });
     };
-    if (!migrator_.migrateOneOff(servers, slices, id, "hot", target)) continue;
+    if (!migrator_.migrateOneSliceFrom(servers, slices, id, "hot", target)) continue;
     server.hotspot.hotReports = 0;
     server.hotspot.relievedAt = now;
-    server.migrations.nextOffAt = now + static_cast<Micros>(kPeriod * (1 + 2 * random_.uniform()));
+    server.migrations.nextMigrationOffAt =
+        now + static_cast<Micros>(kMigrationPeriod * (1 + 2 * random_.uniform()));
   }
 }
 
 bool HotspotRule::isTarget(const ServerState& server, const SliceState& slice) const {
   return server.isUsable() && !isHot(server) && load_.projectedLoad(server) < load_.meanLoad() &&
          slowStart_.canAbsorb(server, slice.heat, load_.fleetScale()) &&
-         !server.startedWithin(clock_.now(), kLeastTargetAge) && slice.heat <= load_.fairHeat(server);
+         !server.startedWithin(clock_.now(), kMinTargetAge) && slice.heat <= load_.fairHeat(server);
 }
 
 }  // namespace peargrade::decision
--- a/src/decision/hotspot_rule.h
+++ b/src/decision/hotspot_rule.h
@@ -1,5 +1,5 @@
-// The hotspot rule: a hot server loses slices one at a time. Source: "Avoiding and Correcting Hotspots: How
-// Elasticsearch Serverless Balances Shards", its write-load decider; see docs/design.md.
+// The hotspot rule: migrates slices off hot servers, one at a time. It follows the write-load decider of
+// "Avoiding and Correcting Hotspots: How Elasticsearch Serverless Balances Shards"; see docs/design.md.
 #pragma once
 
 #include "decision/load_estimator.h"
@@ -14,9 +14,10 @@
 
 namespace peargrade::decision {
 
-/// A server is hot after some consecutive reports that are slow and heavy: latency over a multiple of its own
-/// least one, heat over its weight's share. Each hot server loses at most one slice a period, to a server
-/// below the mean load. Nothing migrates while all servers are hot or the fleet is overloaded.
+/// A server is hot after several consecutive reports in which its latency exceeds a multiple of its own
+/// minimum and its heat exceeds its fair share by weight. Each hot server loses at most one slice per period,
+/// to a server below the mean load. No slice migrates while all usable servers are hot or the fleet is
+/// overloaded.
 class HotspotRule {
  public:
   HotspotRule(const Settings& settings, const Clock& clock, const SlowStart& slowStart,
@@ -31,13 +32,13 @@
         migrator_(migrator),
         random_(random) {}
 
-  /// Evaluates the newest report of each server. Called once for each decision, before relieve.
+  /// Evaluates the latest report of each server. Called once for each decision, before relieve().
   void detect(ServerMap& servers);
-  /// Migrates slices off hot servers.
+  /// Migrates at most one slice off each hot server.
   void relieve(ServerMap& servers, SliceMap& slices);
 
  private:
-  [[nodiscard]] static bool isSlow(const ServerState& server, double typicalPressure);
+  [[nodiscard]] static bool isSlow(const ServerState& server, double fleetPressure);
   [[nodiscard]] bool isTarget(const ServerState& server, const SliceState& slice) const;
 
   const Settings& settings_;
--- a/src/decision/load_estimator.cpp
+++ b/src/decision/load_estimator.cpp
@@ -9,16 +9,16 @@
 namespace peargrade::decision {
 namespace {
 
-/// Time constant of a slice's demand.
-constexpr Micros kDemandMemory = 5 * kSecond;
-/// Servers that changed within this span form a cohort.
+/// Time constant of the request rate of a slice.
+constexpr Micros kDemandTimeConstant = 5 * kSecond;
+/// Servers that changed within this time of each other form a cohort.
 constexpr Micros kCohortSpan = 5 * kSecond;
-/// Heat of a slice while no slice's heat is known.
-constexpr double kUnknownHeat = 1;
-/// Keeps divisors over 0.
-constexpr double kLeastWeight = 1e-9;
+/// Assumed heat of a slice while the heat of no slice is known.
+constexpr double kDefaultSliceHeat = 1;
+/// Lower bound of weights and shares that are used as divisors.
+constexpr double kMinDivisor = 1e-9;
 
-/// Takes `heat` off a sum of heat. Rounding must not leave the sum below 0.
+/// Subtracts `heat` from a sum of heat. Rounding errors must not make the sum negative.
 void removeHeat(double& sum, double heat) { sum = std::max(0.0, sum - heat); }
 
 }  // namespace
@@ -29,20 +29,23 @@
   const auto requestClass = static_cast<std::size_t>(report.requestClass);
   if (requestClass >= costs_.classes()) return;
   if (firstReportAt_ == 0) firstReportAt_ = clock_.now() - report.window;
-  it->second.demand[requestClass].add(clock_.now(), static_cast<double>(report.requests), kDemandMemory);
+  it->second.demand[requestClass].add(clock_.now(), static_cast<double>(report.requests),
+                                      kDemandTimeConstant);
 }
 
-// Rates are counted over the time that reports cover, which at first is not the whole memory.
+// Shortly after the start or an assignment the reports cover less than the time constant. The divisor
+// accounts for that: otherwise the rates would be underestimated.
 void LoadEstimator::estimateRates(SliceState& slice) const {
   const Micros now = clock_.now();
   const Micros reportedFrom =
       slice.assignedAt > firstReportAt_ ? slice.assignedAt + kReportLag : firstReportAt_;
-  const Micros covered = std::max(settings_.reportInterval, now - reportedFrom);
-  const auto memory = static_cast<double>(kDemandMemory);
-  const double span = memory / kSecond * (1 - std::exp(-static_cast<double>(covered) / memory));
+  const Micros reportedTime = std::max(settings_.reportInterval, now - reportedFrom);
+  const auto timeConstant = static_cast<double>(kDemandTimeConstant);
+  const double span =
+      timeConstant / kSecond * (1 - std::exp(-static_cast<double>(reportedTime) / timeConstant));
   slice.heat = 0;
   for (std::size_t k = 0; k < slice.rates.size(); ++k) {
-    slice.rates[k] = slice.demand[k].at(now, kDemandMemory) / span;
+    slice.rates[k] = slice.demand[k].at(now, kDemandTimeConstant) / span;
     slice.heat += slice.rates[k] * costs_.of(k);
   }
 }
@@ -55,16 +58,17 @@
   for (auto& [table, slice] : slices) {
     estimateRates(slice);
     for (std::size_t k = 0; k < classHeat_.size(); ++k) classHeat_[k] += slice.rates[k] * costs_.of(k);
-    if (now - slice.assignedAt < kReportLag + kDemandMemory / 2) continue;
+    if (now - slice.assignedAt < kReportLag + kDemandTimeConstant / 2) continue;
     knownHeat += slice.heat;
     knownSlices += 1;
   }
-  // A slice that was just assigned counts as a mean one for a while: else a batch of them lands on one
-  // server.
-  const double typicalHeat = knownHeat > 0 ? knownHeat / knownSlices : kUnknownHeat;
+  // A newly assigned slice has no reports yet and starts with the mean heat. Otherwise it would count as
+  // idle, and all slices of a batch would be placed on the same server.
+  const double meanSliceHeat = knownHeat > 0 ? knownHeat / knownSlices : kDefaultSliceHeat;
   for (auto& [table, slice] : slices) {
-    const double trust = static_cast<double>(now - slice.assignedAt - kReportLag) / kDemandMemory;
-    slice.heat += (1 - std::clamp(trust, 0.0, 1.0)) * (typicalHeat - slice.heat);
+    const double reportWeight =
+        static_cast<double>(now - slice.assignedAt - kReportLag) / kDemandTimeConstant;
+    slice.heat += (1 - std::clamp(reportWeight, 0.0, 1.0)) * (meanSliceHeat - slice.heat);
   }
   for (auto& [id, server] : servers) server.load = EstimatedLoad{0, server.load.cohort, 0};
   fleetHeat_ = 0;
@@ -74,9 +78,10 @@
   }
 }
 
-// What the slices of other supervisors bring to a cohort is what own slices bring there, as often as there
-// are more of them. Within a cohort it goes by weight, or where nothing changed by what own slices lacked of
-// a fair share in the first tables.
+// The slices of other supervisors are assumed to add (fleetScale - 1) times the own heat of a cohort to that
+// cohort. Within a cohort of changed servers this heat is distributed by weight. Among servers that never
+// changed, each gets a share in proportion to how far this supervisor's heat at the initial assignment fell
+// short of the server's fair share: other supervisors are assumed to fill the difference.
 void LoadEstimator::estimateFleetHeat(ServerMap& servers, const SliceMap& slices) {
   std::map<ServerId, double> initialHeat;
   for (const auto& [table, slice] : slices) initialHeat[slice.initialPrimary] += slice.heat;
@@ -96,7 +101,7 @@
     members.push_back({hasChanged ? std::max(server.changedAt, settledBefore()) : 0, &server});
     const double deficit = fleetHeat_ * slowStart_.weight(server) / readyWeight - initialHeat[id];
     server.load.peerShare = hasChanged ? slowStart_.weight(server) * slowStart_.rampFactor(server)
-                                       : std::max(kLeastWeight, deficit);
+                                       : std::max(kMinDivisor, deficit);
   }
   assignCohorts(members);
   double rampedWeight = 0;
@@ -107,7 +112,8 @@
   meanLoad_ = rampedWeight > 0 ? fleetHeat_ / rampedWeight : 0;
 }
 
-// A supervisor may be assigned more slices than the settings name: then there are no others to scale to.
+// A supervisor may be assigned more slices than the settings state for the fleet. The scale must not fall
+// below 1 then: the heat of other supervisors would become negative.
 double LoadEstimator::scaleToFleet(std::size_t ownSlices) const {
   if (ownSlices == 0) return 1;
   return std::max(1.0, static_cast<double>(settings_.slices) / static_cast<double>(ownSlices));
@@ -120,16 +126,16 @@
   std::stable_sort(members.begin(), members.end(), changedEarlier);
   cohortHeat_.assign(1, 0);
   for (auto first = members.begin(), end = first; first != members.end(); first = end) {
-    double shares = 0;  // stays 0 where a server that starts without capacity is alone
+    double shareSum = 0;  // stays 0 if the only member has no initial capacity
     cohortHeat_.push_back(0);
     for (; end != members.end() && end->changedAt - first->changedAt < kCohortSpan; ++end) {
       EstimatedLoad& load = end->server->load;
       load.cohort = cohortHeat_.size() - 1;
       cohortHeat_.back() += load.ownHeat;
-      shares += load.peerShare;
+      shareSum += load.peerShare;
     }
-    for (auto it = first; it != end && shares > 0; ++it)
-      it->server->load.peerShare *= (fleetScale_ - 1) / shares;
+    for (auto it = first; it != end && shareSum > 0; ++it)
+      it->server->load.peerShare *= (fleetScale_ - 1) / shareSum;
   }
 }
 
@@ -144,17 +150,18 @@
   return server.load.ownHeat + server.load.peerShare * cohortHeat_[server.load.cohort];
 }
 
-// Other supervisors are taken to send a changed cohort as much more as this one does. Unless the fleet is
-// overloaded a server's first slice counts alone: in a cohort of one it would often fit nowhere otherwise.
+// Other supervisors are assumed to add as much heat to a changed server as this one does. The first slice on
+// a server is exempt unless the fleet is overloaded: multiplied by the number of supervisors it would often
+// exceed the limit of a server that is alone in its cohort.
 double LoadEstimator::projectedLoad(const ServerState& server, double extraHeat) const {
   const bool othersFollow =
       server.changedAt > 0 && (server.load.ownHeat > 0 || slowStart_.isFleetOverloaded());
-  const double echo = othersFollow ? server.load.peerShare : 0;
+  const double peerFactor = othersFollow ? server.load.peerShare : 0;
   const double weight = slowStart_.weight(server) * slowStart_.rampFactor(server);
-  return (heatOn(server) + extraHeat * (1 + echo)) / std::max(kLeastWeight, weight);
+  return (heatOn(server) + extraHeat * (1 + peerFactor)) / std::max(kMinDivisor, weight);
 }
 
-// What changed by then is filled no more and counts as one cohort: else slices would migrate back and forth.
+// Settled servers must not be filled as recovering ones: slices would migrate back and forth between them.
 Micros LoadEstimator::settledBefore() const {
   return std::max<Micros>(0, clock_.now() - settings_.slowStartWindow - kDepartureMemory);
 }
--- a/src/decision/load_estimator.h
+++ b/src/decision/load_estimator.h
@@ -1,4 +1,5 @@
-// Heat of the slices and servers: the fleet's load as estimated by one supervisor.
+// Estimates the heat of slices, servers and the fleet from the load reports that one supervisor receives.
+// Heat is load: requests a second, each multiplied by the cost of its class.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +15,11 @@
 
 namespace peargrade::decision {
 
-/// Estimates load. Heat is requests a second, each with its cost. Tables count as desired, so that migrations
-/// in flight weigh at their target. A supervisor hears of its own slices only. They are a fair sample of all:
-/// what they say of a single server is chance, what they say of a cohort, the servers that changed at the
-/// same time or not at all, holds for the slices of other supervisors too.
+/// Estimates the heat of the whole fleet. Slices count at their desired primary server, so that the heat of a
+/// migration in flight counts at its target. A supervisor receives reports of its own slices only and has to
+/// extrapolate to the slices of other supervisors. Its slices are too small a sample for a single server.
+/// Therefore the extrapolation is made per cohort: the servers that changed at about the same time, or those
+/// that never changed.
 class LoadEstimator {
  public:
   LoadEstimator(const Settings& settings, const Clock& clock, const RequestCosts& costs,
@@ -25,33 +27,37 @@
       : settings_(settings), clock_(clock), costs_(costs), slowStart_(slowStart), trials_(trials) {}
 
   void record(const SliceLoadReport& report, SliceMap& slices);
-  /// Heat of the slices and what they bring to their primary servers. First step of each decision.
+  /// Estimates the heat of this supervisor's slices and adds it up by primary server. First step of each
+  /// decision.
   void estimateOwnHeat(ServerMap& servers, SliceMap& slices);
-  /// The fleet's heat, once pressure is estimated and trials are counted.
+  /// Extrapolates to the heat of all supervisors' slices. Call after PressureEstimator::estimate and
+  /// TrialBudget::count.
   void estimateFleetHeat(ServerMap& servers, const SliceMap& slices);
-  /// Follows a slice that migrates.
+  /// Moves the heat of a migrating slice from one server's estimate to the other's.
   void recordMigration(ServerState& from, ServerState& to, double heat);
 
-  /// Heat of all supervisors' slices on a server, never negative.
+  /// Estimated heat of all supervisors' slices on a server. Never negative.
   [[nodiscard]] double heatOn(const ServerState& server) const;
-  /// That heat, with `extraHeat` of own slices added, per unit of weight that the server has now.
+  /// Load of a server if `extraHeat` of this supervisor's slices were added: heat per unit of the weight that
+  /// the server has in its current phase of slow start.
   [[nodiscard]] double projectedLoad(const ServerState& server, double extraHeat = 0) const;
-  /// The fleet's heat per unit of weight of the servers that take slices.
+  /// Heat of the fleet per unit of weight of the servers that accept slices.
   [[nodiscard]] double meanLoad() const { return meanLoad_; }
   [[nodiscard]] double fleetHeat() const { return fleetHeat_; }
-  /// Weight of the usable servers, as if all were warm.
+  /// Sum of the weights of the usable servers, without the reduction during slow start.
   [[nodiscard]] double usableWeight() const { return usableWeight_; }
-  /// The server's share of the fleet's heat by its weight.
+  /// The heat that the server would have if the fleet's heat were distributed by weight.
   [[nodiscard]] double fairHeat(const ServerState& server) const {
     return fleetHeat_ * slowStart_.weight(server) / usableWeight_;
   }
-  /// The fleet's heat against that of this supervisor's slices, at least 1.
+  /// Ratio of the fleet's heat to the heat of this supervisor's slices, at least 1.
   [[nodiscard]] double fleetScale() const { return fleetScale_; }
   /// Heat of this supervisor's slices, by class.
   [[nodiscard]] const std::vector<double>& classHeat() const { return classHeat_; }
-  /// The begin of the first load report of a slice; 0: none has come.
+  /// Start of the window of the first slice load report; 0: none has arrived.
   [[nodiscard]] Micros firstReportAt() const { return firstReportAt_; }
-  /// A server that changed at or before this time counts as settled.
+  /// Servers that last changed at or before this time are settled: they form one cohort and are no longer
+  /// filled by RecoveryFiller.
   [[nodiscard]] Micros settledBefore() const;
 
  private:
@@ -73,7 +79,7 @@
   double fleetHeat_ = 0;
   double usableWeight_ = 0;
   double fleetScale_ = 1;
-  std::vector<double> cohortHeat_ = {0};  // own heat by cohort; the first stands for none
+  std::vector<double> cohortHeat_ = {0};  // own heat by cohort; index 0: servers without a cohort
   std::vector<double> classHeat_;
   Micros firstReportAt_ = 0;
 };
--- a/src/decision/migrator.cpp
+++ b/src/decision/migrator.cpp
@@ -6,18 +6,21 @@
 namespace peargrade::decision {
 namespace {
 
-/// Weight of a primary route where none was set yet.
+/// Weight of the primary route of a slice that has no route yet.
 constexpr double kPrimaryWeight = 1;
 
+/// Relative to the heat of the server's hottest slice, in migration order.
 enum class HeatRank { UpperHalf, LowerHalf, Hottest, Cold };
 
-HeatRank rankOf(double heat, double hottest) {
+HeatRank heatRank(double heat, double hottest) {
   if (heat <= 0) return HeatRank::Cold;
   if (heat >= hottest) return HeatRank::Hottest;
   return heat >= hottest / 2 ? HeatRank::UpperHalf : HeatRank::LowerHalf;
 }
 
-std::vector<TableId> byHalfOfHottest(const SliceMap& slices, const ServerId& server) {
+/// The slices of a server in the order in which they are offered for migration: by HeatRank, and within each
+/// rank those nearest to half of the hottest slice's heat first.
+std::vector<TableId> slicesInMigrationOrder(const SliceMap& slices, const ServerId& server) {
   std::vector<std::tuple<HeatRank, double, TableId>> order;
   double hottest = 0;
   for (const auto& [table, slice] : slices) {
@@ -26,7 +29,7 @@
     hottest = std::max(hottest, slice.heat);
   }
   for (auto& [rank, key, table] : order) {
-    rank = rankOf(key, hottest);
+    rank = heatRank(key, hottest);
     key = rank == HeatRank::UpperHalf ? key : -key;
   }
   std::sort(order.begin(), order.end());
@@ -52,9 +55,9 @@
   slice.migratedAt = clock_.now();
 }
 
-bool Migrator::migrateOneOff(ServerMap& servers, SliceMap& slices, const ServerId& from,
-                             const std::string& reason, const ChooseTarget& chooseTarget) {
-  for (const TableId table : byHalfOfHottest(slices, from)) {
+bool Migrator::migrateOneSliceFrom(ServerMap& servers, SliceMap& slices, const ServerId& from,
+                                   const std::string& reason, const ChooseTarget& chooseTarget) {
+  for (const TableId table : slicesInMigrationOrder(slices, from)) {
     SliceState& slice = slices.at(table);
     const ServerId to = chooseTarget(slice);
     if (to.empty()) continue;
--- a/src/decision/migrator.h
+++ b/src/decision/migrator.h
@@ -1,4 +1,4 @@
-// Migration of slices from one server to another.
+// Migrates slices from one server to another.
 #pragma once
 
 #include <functional>
@@ -13,22 +13,24 @@
 
 namespace peargrade::decision {
 
-/// Changes the primary server of a slice, in its desired table and in the estimates; logs each migration.
+/// Changes the primary server of a slice in its desired table and in the load estimates. Logs each migration.
 class Migrator {
  public:
-  /// The server that a slice may migrate to; empty: none.
+  /// Returns the server that a slice shall migrate to; empty: it cannot migrate.
   using ChooseTarget = std::function<ServerId(const SliceState&)>;
 
   Migrator(const Clock& clock, LoadEstimator& load, TrialBudget& trials, ActionQueue& actions)
       : clock_(clock), load_(load), trials_(trials), actions_(actions) {}
 
-  /// `reason`: a word for the log, explained in docs/oncall.md.
+  /// `reason`: for the log. docs/oncall.md explains each reason.
   void migrate(ServerMap& servers, TableId table, SliceState& slice, const ServerId& to,
                const std::string& reason);
-  /// Migrates the first slice that has a target, by half of the hottest slice's heat: from there up, then
-  /// down, then the hottest, then cold ones. Returns whether there was one.
-  bool migrateOneOff(ServerMap& servers, SliceMap& slices, const ServerId& from, const std::string& reason,
-                     const ChooseTarget& chooseTarget);
+  /// Migrates one slice off the server `from`: the first for which `chooseTarget` returns a server. Slices
+  /// are offered in this order: those with at least half the heat of the hottest slice, the coolest first;
+  /// those with less than half, the hottest first; the hottest slice; idle slices. Returns whether a slice
+  /// migrated.
+  bool migrateOneSliceFrom(ServerMap& servers, SliceMap& slices, const ServerId& from,
+                           const std::string& reason, const ChooseTarget& chooseTarget);
 
  private:
   const Clock& clock_;
--- a/src/decision/path_estimator.cpp
+++ b/src/decision/path_estimator.cpp
@@ -5,19 +5,20 @@
 namespace peargrade::decision {
 namespace {
 
-/// A path is slow from so many times the latency of the best one.
+/// A path is slow if its latency exceeds this multiple of the latency of the best path.
 constexpr double kSlowPathFactor = 2;
-/// A path is lossy from so much more failed attempts, as a share, than on the best one.
-constexpr double kLossyPathShare = 0.05;
-constexpr double kNoLatency = 1e18;
+/// A path is lossy if its share of failed attempts exceeds that of the best path by more than this.
+constexpr double kLossyPathMargin = 0.05;
+/// Greater than any latency.
+constexpr double kInfiniteLatency = 1e18;
 
 using StatisticsByZone = std::map<int, ZoneStatistics>;  // by zone of the proxies
 
 std::map<int, StatisticsByZone> statisticsBetweenZones(const ServerMap& servers, Micros now) {
   std::map<int, StatisticsByZone> statistics;  // by zone of the servers
   for (const auto& [id, server] : servers) {
-    for (const auto& [proxyZone, reported] : server.reports.byProxyZone)
-      statistics[server.endpoint.zone][proxyZone].add(now, reported, kReportMemory);
+    for (const auto& [proxyZone, zoneStatistics] : server.reports.byProxyZone)
+      statistics[server.endpoint.zone][proxyZone].add(now, zoneStatistics, kReportTimeConstant);
   }
   return statistics;
 }
@@ -27,19 +28,20 @@
 void PathEstimator::estimate(const ServerMap& servers, Micros now) {
   penalties_.clear();
   for (const auto& [serverZone, byProxyZone] : statisticsBetweenZones(servers, now)) {
-    double bestLatency = kNoLatency;
+    double bestLatency = kInfiniteLatency;
     double bestFailureShare = 1;
     for (const auto& [proxyZone, statistics] : byProxyZone) {
-      const double latency = statistics.meanLatency(now, kReportMemory);
+      const double latency = statistics.meanLatency(now, kReportTimeConstant);
       if (latency > 0) bestLatency = std::min(bestLatency, latency);
-      bestFailureShare = std::min(bestFailureShare, statistics.counts(now, kReportMemory).failureShare());
+      bestFailureShare =
+          std::min(bestFailureShare, statistics.counts(now, kReportTimeConstant).failureShare());
     }
     for (const auto& [proxyZone, statistics] : byProxyZone) {
-      const double latency = statistics.meanLatency(now, kReportMemory);
-      const double failureShare = statistics.counts(now, kReportMemory).failureShare();
+      const double latency = statistics.meanLatency(now, kReportTimeConstant);
+      const double failureShare = statistics.counts(now, kReportTimeConstant).failureShare();
       PathPenalty& penalty = penalties_[{serverZone, proxyZone}];
       if (latency > kSlowPathFactor * bestLatency) penalty.latency = latency - bestLatency;
-      if (failureShare > bestFailureShare + kLossyPathShare)
+      if (failureShare > bestFailureShare + kLossyPathMargin)
         penalty.failureShare = failureShare - bestFailureShare;
     }
   }
--- a/src/decision/placement.h
+++ b/src/decision/placement.h
@@ -1,4 +1,4 @@
-// Where a slice goes: the coolest server that may take it.
+// Chooses the target server for a slice: the allowed server with the least projected load.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace peargrade::decision {
 
-/// Chooses targets of migrations.
+/// Chooses the target servers of migrations.
 class Placement {
  public:
   using IsAllowed = std::function<bool(const ServerState&)>;
@@ -21,12 +21,12 @@
             const TrialBudget& trials, Random& random)
       : clock_(clock), endpoints_(endpoints), load_(load), trials_(trials), random_(random) {}
 
-  /// The allowed server with the least projected load, other than the slice's primary; empty: none. Chance
-  /// decides among the nearly coolest, so that supervisors choose differently. `typicalPressure`: the median
-  /// pressure of the usable servers.
-  [[nodiscard]] ServerId coolest(const ServerMap& servers, const SliceState& slice, double typicalPressure,
+  /// The allowed server with the least projected load, other than the slice's primary server; empty: none.
+  /// Chooses at random among servers with nearly the least load, so that supervisors do not all choose the
+  /// same one. `fleetPressure`: median pressure of the usable servers.
+  [[nodiscard]] ServerId coolest(const ServerMap& servers, const SliceState& slice, double fleetPressure,
                                  const IsAllowed& isAllowed);
-  /// Whether a server may be given slices.
+  /// Whether slices may migrate to the server.
   [[nodiscard]] bool acceptsSlices(const ServerState& server) const;
 
  private:
--- a/src/decision/pressure_estimator.cpp
+++ b/src/decision/pressure_estimator.cpp
@@ -6,12 +6,12 @@
 namespace peargrade::decision {
 namespace {
 
-/// Window of a server's least latency.
-constexpr Micros kLeastLatencyWindow = 30 * kSecond;
-/// Fewer successful attempts than this say nothing of the least latency.
-constexpr double kLeastSuccesses = 4;
-/// Fewer successful attempts than this give no latency.
-constexpr double kNoSuccesses = 0.5;
+/// Window of the minimum of a server's latency.
+constexpr Micros kMinLatencyWindow = 30 * kSecond;
+/// With fewer successful attempts the latency is too uncertain for the minimum.
+constexpr double kMinSuccessesForMinimum = 4;
+/// With fewer (decayed) successful attempts the server has no latency estimate.
+constexpr double kMinSuccessesForMean = 0.5;
 
 }  // namespace
 
@@ -21,14 +21,14 @@
   if (it == servers.end() || it->second.startedWithin(now, kReportLag + report.window)) return;
   ServerState& server = it->second;
   server.reports.reportedAt = now;
-  const bool hasAnswered = server.reports.byProxyZone[report.zone].add(now, report, kReportMemory);
+  const bool hasAnswered = server.reports.byProxyZone[report.zone].add(now, report, kReportTimeConstant);
   server.isConfirmed = hasAnswered || server.isConfirmed;
 }
 
 void PressureEstimator::estimate(ServerMap& servers, const SliceMap& slices,
                                  const std::vector<double>& fleetRatios) {
   paths_.estimate(servers, clock_.now());
-  // Of admitted requests only: rejected ones are not answered.
+  // Only admitted requests count: proxies do not send rejected ones to the servers.
   std::map<ServerId, double> requests;
   std::map<ServerId, double> objectives;
   for (const auto& [table, slice] : slices) {
@@ -41,18 +41,19 @@
   fleetCounts_ = {};
   for (auto& [id, server] : servers) {
     ReportedLoad& reports = server.reports;
-    const double successes = summarize(server);
+    const double successes = summarizeReports(server);
     fleetCounts_.attempts += reports.counts.attempts;
     fleetCounts_.failures += reports.counts.failures;
-    if (successes >= kLeastSuccesses)
-      reports.latencies.add(clock_.now(), reports.latency, kLeastLatencyWindow);
-    // A server without own slices is reported on for those of other supervisors.
-    const double objective = objectives[id] > 0 ? objectives[id] / requests[id] : costs_.highest();
+    if (successes >= kMinSuccessesForMinimum)
+      reports.latencies.add(clock_.now(), reports.latency, kMinLatencyWindow);
+    // Reports about a server without slices of this supervisor come from slices of other supervisors, whose
+    // classes are unknown here. The highest cost gives the lowest pressure.
+    const double objective = objectives[id] > 0 ? objectives[id] / requests[id] : costs_.maxCost();
     reports.pressure = reports.latency / (objective * kSecond);
   }
 }
 
-double PressureEstimator::summarize(ServerState& server) const {
+double PressureEstimator::summarizeReports(ServerState& server) const {
   const Micros now = clock_.now();
   double successes = 0;
   double latencySum = 0;
@@ -60,15 +61,16 @@
   counts = {};
   for (const auto& [proxyZone, statistics] : server.reports.byProxyZone) {
     const PathPenalty path = paths_.penalty(server.endpoint.zone, proxyZone);
-    const double zoneSuccesses = statistics.successes.at(now, kReportMemory);
-    const double attempts = statistics.attempts.at(now, kReportMemory);
-    const double failures = statistics.failures.at(now, kReportMemory);
+    const double zoneSuccesses = statistics.successes.at(now, kReportTimeConstant);
+    const double attempts = statistics.attempts.at(now, kReportTimeConstant);
+    const double failures = statistics.failures.at(now, kReportTimeConstant);
     successes += zoneSuccesses;
-    latencySum += std::max(0.0, statistics.latencySum.at(now, kReportMemory) - zoneSuccesses * path.latency);
+    latencySum +=
+        std::max(0.0, statistics.latencySum.at(now, kReportTimeConstant) - zoneSuccesses * path.latency);
     counts.attempts += attempts;
     counts.failures += std::max(0.0, failures - attempts * path.failureShare);
   }
-  server.reports.latency = successes < kNoSuccesses ? 0 : latencySum / successes;
+  server.reports.latency = successes < kMinSuccessesForMean ? 0 : latencySum / successes;
   return successes;
 }
 
--- a/src/decision/pressure_estimator.h
+++ b/src/decision/pressure_estimator.h
@@ -1,4 +1,4 @@
-// Latency, failures and pressure of the servers, from load reports.
+// Estimates latency, attempts, failures and pressure of the servers from load reports.
 #pragma once
 
 #include <vector>
@@ -12,33 +12,37 @@
 
 namespace peargrade::decision {
 
-/// Age of a load report when it arrives. No setting states it.
+/// Assumed age of a load report when it arrives. The settings do not specify it.
 constexpr Micros kReportLag = 1 * kSecond;
-/// Pressure from which a server is overloaded.
+/// A server whose pressure is at least this value is overloaded.
 constexpr double kOverloadedPressure = 0.55;
-/// Pressure up to which a server is relaxed.
+/// A server whose pressure is at most this value has spare capacity.
 constexpr double kRelaxedPressure = 0.3;
 
-/// Estimates each server's latency, attempts and pressure: latency as a share of the latency objective.
+/// Estimates each server's latency, attempt counts and pressure. Pressure is the mean latency divided by the
+/// latency objective of the server's requests.
 class PressureEstimator {
  public:
   PressureEstimator(const Settings& settings, const Clock& clock, const RequestCosts& costs)
       : settings_(settings), clock_(clock), costs_(costs) {}
 
-  /// A report that may cover the time before the server's start is ignored.
+  /// Adds a load report. A report whose window may begin before the server's start is ignored: it may
+  /// describe the previous process.
   void record(const ServerLoadReport& report, ServerMap& servers) const;
-  /// `fleetRatios`: the published admission ratios of all tables, by class. Called once for each decision.
+  /// Called once for each decision. `fleetRatios`: published admission ratios that apply to all tables, by
+  /// class.
   void estimate(ServerMap& servers, const SliceMap& slices, const std::vector<double>& fleetRatios);
-  /// Attempts at all servers.
+  /// Decayed counts of attempts and failures, summed over all servers.
   [[nodiscard]] const AttemptCounts& fleetCounts() const { return fleetCounts_; }
-  /// How long after a change load reports show its effect, in microseconds.
+  /// Time from a published change until load reports reflect it, in microseconds.
   [[nodiscard]] Micros settlingTime() const {
     return settings_.pushDelay + settings_.reportInterval + kReportLag;
   }
 
  private:
-  /// Returns the number of successful attempts.
-  double summarize(ServerState& server) const;
+  /// Sets the server's latency and attempt counts from the reports of all zones, without the path penalties.
+  /// Returns the decayed number of successful attempts.
+  double summarizeReports(ServerState& server) const;
 
   const Settings& settings_;
   const Clock& clock_;
@@ -47,7 +51,7 @@
   AttemptCounts fleetCounts_;
 };
 
-/// Median pressure of the usable servers; 0: none.
+/// Median pressure of the usable servers; 0 if there are none.
 [[nodiscard]] double medianPressure(const ServerMap& servers);
 
 }  // namespace peargrade::decision
--- a/src/decision/random.h
+++ b/src/decision/random.h
@@ -1,11 +1,12 @@
-// The pseudo-random numbers that break ties between equals.
+// The pseudo-random number generator of the decision engine.
 #pragma once
 
 #include <cstdint>
 
 namespace peargrade::decision {
 
-/// SplitMix64: small, seeded, and the same on every platform, which the standard distributions are not.
+/// SplitMix64. Equal seeds give equal numbers on every platform; the distributions of the standard library do
+/// not guarantee that.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -18,7 +19,7 @@
     return mixed ^ (mixed >> 31);
   }
 
-  /// Uniform in [0, 1).
+  /// Uniformly distributed in [0, 1).
   double uniform() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 
  private:
--- a/src/decision/recovery_filler.cpp
+++ b/src/decision/recovery_filler.cpp
@@ -9,15 +9,16 @@
 namespace peargrade::decision {
 namespace {
 
-/// Load reports over less time than this are no basis for estimates.
+/// Load reports must cover at least this time before servers are filled.
 constexpr Micros kObservationTime = 10 * kSecond;
 /// A recovering server is filled up to this share of the mean load.
-constexpr double kFillBelow = 0.8;
-/// Time between two slices to a recovering server, and between two off a donor.
+constexpr double kFillTargetShare = 0.8;
+/// Minimum time between two migrations to the same recovering server, and between two off the same donor.
 constexpr Micros kFillInterval = 1 * kSecond;
-constexpr double kNoSlice = 1e18;
+/// Greater than the heat of any slice.
+constexpr double kInfiniteHeat = 1e18;
 
-/// Heat of the coolest slice, by primary server.
+/// Heat of the coolest slice of each primary server.
 std::map<ServerId, double> coolestSlices(const SliceMap& slices) {
   std::map<ServerId, double> coolest;
   for (const auto& [table, slice] : slices) {
@@ -30,7 +31,7 @@
 }  // namespace
 
 bool RecoveryFiller::Candidate::operator<(const Candidate& other) const {
-  return std::tie(order, tieBreaker, server) < std::tie(other.order, other.tieBreaker, other.server);
+  return std::tie(sortKey, tieBreaker, server) < std::tie(other.sortKey, other.tieBreaker, other.server);
 }
 
 void RecoveryFiller::fill(ServerMap& servers, SliceMap& slices) {
@@ -38,12 +39,12 @@
   if (load_.firstReportAt() == 0 || now - load_.firstReportAt() < kObservationTime) return;
   const Candidates sorted = candidates(servers);
   std::map<ServerId, double> coolest = coolestSlices(slices);
-  double coolestOfAll = kNoSlice;
+  double coolestOfAll = kInfiniteHeat;
   for (const Candidate& donor : sorted.donors) coolestOfAll = std::min(coolestOfAll, coolest[*donor.server]);
   for (const Candidate& recovering : sorted.recovering) {
     if (load_.projectedLoad(servers.at(*recovering.server), coolestOfAll) > load_.meanLoad()) continue;
     for (const Candidate& donor : sorted.donors) {
-      if (fillFrom(*donor.server, *recovering.server, coolest[*donor.server], servers, slices)) break;
+      if (migrateFromDonor(*donor.server, *recovering.server, coolest[*donor.server], servers, slices)) break;
     }
   }
 }
@@ -61,32 +62,32 @@
 }
 
 bool RecoveryFiller::isDonor(const ServerState& server, double load) const {
-  const double margin = slowStart_.isFleetOverloaded() ? 1 : kFillBelow;
+  const double margin = slowStart_.isFleetOverloaded() ? 1 : kFillTargetShare;
   return server.isUsable() && server.load.ownHeat > 0 && load * margin > load_.meanLoad();
 }
 
 bool RecoveryFiller::isRecovering(const ServerState& server, double load) const {
   if (server.changedAt <= load_.settledBefore() || !placement_.acceptsSlices(server)) return false;
-  if (clock_.now() - server.migrations.filledAt < kFillInterval) return false;
-  return load < kFillBelow * load_.meanLoad() && server.reports.pressure <= kRelaxedPressure;
+  if (clock_.now() - server.migrations.lastFilledAt < kFillInterval) return false;
+  return load < kFillTargetShare * load_.meanLoad() && server.reports.pressure <= kRelaxedPressure;
 }
 
-bool RecoveryFiller::fillFrom(const ServerId& donorId, const ServerId& id, double coolestSlice,
-                              ServerMap& servers, SliceMap& slices) {
+bool RecoveryFiller::migrateFromDonor(const ServerId& donorId, const ServerId& recoveringId,
+                                      double coolestSlice, ServerMap& servers, SliceMap& slices) {
   const Micros now = clock_.now();
   ServerState& donor = servers.at(donorId);
-  ServerState& recovering = servers.at(id);
+  ServerState& recovering = servers.at(recoveringId);
   const double mean = load_.meanLoad();
-  if (now < donor.migrations.nextOffAt || load_.projectedLoad(donor) <= mean) return false;
+  if (now < donor.migrations.nextMigrationOffAt || load_.projectedLoad(donor) <= mean) return false;
   if (load_.projectedLoad(recovering, coolestSlice) > mean) return false;
   const auto target = [&](const SliceState& slice) {
     const bool fits = load_.projectedLoad(recovering, slice.heat) <= mean &&
                       slowStart_.canAbsorb(recovering, slice.heat, load_.fleetScale());
-    return fits ? id : ServerId{};
+    return fits ? recoveringId : ServerId{};
   };
-  if (!migrator_.migrateOneOff(servers, slices, donorId, "recovering", target)) return false;
-  recovering.migrations.filledAt = now;
-  donor.migrations.nextOffAt = now + kFillInterval;
+  if (!migrator_.migrateOneSliceFrom(servers, slices, donorId, "recovering", target)) return false;
+  recovering.migrations.lastFilledAt = now;
+  donor.migrations.nextMigrationOffAt = now + kFillInterval;
   return true;
 }
 
--- a/src/decision/recovery_filler.h
+++ b/src/decision/recovery_filler.h
@@ -1,4 +1,4 @@
-// Recovery ramp: servers that started or were taken back are filled with slices again.
+// Recovery ramp: migrates slices to servers that have started or have been readmitted.
 #pragma once
 
 #include <string>
@@ -14,8 +14,8 @@
 
 namespace peargrade::decision {
 
-/// A server that changed and stands below the mean load takes slices, one at a time, from the most loaded
-/// servers, as far as its slow start carries them.
+/// Fills recovering servers: those that changed recently and are below the mean load. They receive slices one
+/// at a time from the most loaded servers, within the limits of slow start.
 class RecoveryFiller {
  public:
   RecoveryFiller(const Clock& clock, const SlowStart& slowStart, const LoadEstimator& load,
@@ -31,10 +31,10 @@
   void fill(ServerMap& servers, SliceMap& slices);
 
  private:
-  /// A server in the order in which it is considered; chance decides between equals, else all supervisors
-  /// would begin with the same one.
+  /// A server with its sort key. The random tie breaker prevents all supervisors from starting with the same
+  /// one of several equal servers.
   struct Candidate {
-    double order;
+    double sortKey;
     double tieBreaker;
     const ServerId* server;
     bool operator<(const Candidate& other) const;
@@ -47,8 +47,10 @@
   [[nodiscard]] Candidates candidates(const ServerMap& servers);
   [[nodiscard]] bool isDonor(const ServerState& server, double load) const;
   [[nodiscard]] bool isRecovering(const ServerState& server, double load) const;
-  bool fillFrom(const ServerId& donorId, const ServerId& id, double coolestSlice, ServerMap& servers,
-                SliceMap& slices);
+  /// Migrates one slice from the donor to the recovering server. Returns whether a slice migrated.
+  /// `coolestSlice`: heat of the donor's coolest slice.
+  bool migrateFromDonor(const ServerId& donorId, const ServerId& recoveringId, double coolestSlice,
+                        ServerMap& servers, SliceMap& slices);
 
   const Clock& clock_;
   const SlowStart& slowStart_;
--- a/src/decision/request_costs.cpp
+++ b/src/decision/request_costs.cpp
@@ -20,6 +20,6 @@
   });
 }
 
-double RequestCosts::highest() const { return *std::max_element(costs_.begin(), costs_.end()); }
+double RequestCosts::maxCost() const { return *std::max_element(costs_.begin(), costs_.end()); }
 
 }  // namespace peargrade::decision
--- a/src/decision/request_costs.h
+++ b/src/decision/request_costs.h
@@ -1,4 +1,4 @@
-// What a request costs a server, by class.
+// The cost of a request for a server, by request class.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,18 @@
 
 namespace peargrade::decision {
 
-/// Cost of a request by class. No setting states it; the latency objective stands for it, since operators
-/// grant heavier requests more time.
+/// The settings do not specify the cost of a request. The latency objective of its class is used instead,
+/// since operators give expensive requests more time.
 class RequestCosts {
  public:
   explicit RequestCosts(const Settings& settings) { update(settings); }
 
   void update(const Settings& settings);
   [[nodiscard]] std::size_t classes() const { return costs_.size(); }
-  /// Seconds of latency objective.
+  /// Cost of a request: the latency objective of its class, in seconds.
   [[nodiscard]] double of(std::size_t requestClass) const { return costs_[requestClass]; }
-  [[nodiscard]] double highest() const;
-  /// Classes in the order in which they are shed: the least priority weight per cost first.
+  [[nodiscard]] double maxCost() const;
+  /// Classes in the order in which they are shed: by priority weight per cost, ascending.
   [[nodiscard]] const std::vector<std::size_t>& shedOrder() const { return shedOrder_; }
 
  private:
--- a/src/decision/route_usage.h
+++ b/src/decision/route_usage.h
@@ -1,4 +1,4 @@
-// Which servers the tables use, and which records of servers may be forgotten.
+// Which servers the routing tables use, and which servers' state can be discarded.
 #pragma once
 
 #include <functional>
@@ -9,24 +9,24 @@
 
 namespace peargrade::decision {
 
-/// Servers by their part in the tables of this supervisor's slices.
+/// Servers by how the tables of this supervisor's slices use them. A server may be in several sets.
 struct RouteUsage {
-  /// In a published table.
+  /// Servers with a published route.
   std::set<ServerId> published;
-  /// In a published table without a routable server.
+  /// Servers with a published route in a table in which no server is routable.
   std::set<ServerId> indispensable;
-  /// In a published table that no longer wants them.
+  /// Servers with a published route that is no longer desired.
   std::set<ServerId> stale;
-  /// A primary server, or in a desired table.
+  /// Primary servers and servers with a desired route.
   std::set<ServerId> desired;
 };
 
-/// `isRoutable`: whether proxies may send to a server.
+/// `isRoutable`: whether proxies may send requests to a server.
 [[nodiscard]] RouteUsage routeUsage(const SliceMap& slices,
                                     const std::function<bool(const ServerId&)>& isRoutable);
 
-/// Erases servers that departed before a time, are not ejected and are in no table. Without this, records
-/// would grow with every server that another one replaces.
+/// Erases the state of servers that departed before `departedBefore`, are not ejected and are in no table.
+/// Bounds memory: server ids change with every replacement of a server.
 void forgetDepartedServers(ServerMap& servers, const SliceMap& slices, Micros departedBefore);
 
 }  // namespace peargrade::decision
--- a/src/decision/server_state.cpp
+++ b/src/decision/server_state.cpp
@@ -5,9 +5,9 @@
 
 namespace peargrade::decision {
 
-void OutlierRecord::eject(Micros now, Micros leastEjectionTime) {
+void OutlierRecord::eject(Micros now, Micros minEjectionTime) {
   state_ = State::Outlier;
-  ejectionTime_ = std::max(leastEjectionTime, 2 * ejectionTime_);
+  ejectionTime_ = std::max(minEjectionTime, 2 * ejectionTime_);
   until_ = now + ejectionTime_;
 }
 
--- a/src/decision/server_state.h
+++ b/src/decision/server_state.h
@@ -1,4 +1,4 @@
-// What the engine remembers of a server, in groups with one writer each.
+// The state that the engine keeps of a server, grouped by the component that writes it.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,26 @@
 
 namespace peargrade::decision {
 
-/// How long a server counts as one that departed lately.
+/// How long a server that was drained or removed counts as recently departed.
 constexpr Micros kDepartureMemory = 30 * kSecond;
 
-/// The ejection or readmission of a server that was published last, and whether every proxy knows of it.
+/// The last published ejection or readmission of a server, and whether its delivery to all proxies is
+/// certain.
 class PublishedEjection {
  public:
   [[nodiscard]] bool isEjected() const {
     return state_ == State::Ejected || state_ == State::EjectedUnconfirmed;
   }
-  /// Whether it has to be published again.
+  /// Whether it has to be published again because its delivery is uncertain.
   [[nodiscard]] bool needsRepeat() const {
     return state_ == State::EjectedUnconfirmed || state_ == State::ReadmittedUnconfirmed;
   }
-  /// Whether an ejection keeps, or may keep, some proxies from sending to the server.
+  /// Whether some proxies may currently treat the server as ejected.
   [[nodiscard]] bool mayBeInForce() const { return state_ != State::Readmitted; }
   void publish(EjectionState state) {
     state_ = state == EjectionState::Ejected ? State::Ejected : State::Readmitted;
   }
-  /// Some proxies may not know of it.
+  /// Records that some proxies may not have received it.
   void markUnconfirmed() { state_ = isEjected() ? State::EjectedUnconfirmed : State::ReadmittedUnconfirmed; }
 
  private:
@@ -40,12 +41,13 @@
   State state_ = State::Readmitted;
 };
 
-/// Whether a server is an outlier: it is left for an ejection time, which doubles each time.
+/// Whether a server is an outlier. An outlier gets no slices for an ejection time, which doubles with each
+/// ejection.
 class OutlierRecord {
  public:
   [[nodiscard]] bool isOutlier() const { return state_ == State::Outlier; }
   [[nodiscard]] bool hasExpired(Micros now) const { return isOutlier() && now >= until_; }
-  void eject(Micros now, Micros leastEjectionTime);
+  void eject(Micros now, Micros minEjectionTime);
   void release() { state_ = State::Normal; }
 
  private:
@@ -55,65 +57,67 @@
   Micros ejectionTime_ = 0;
 };
 
-/// What load reports say of a server. Written by PressureEstimator; reset by OutlierDetector.
+/// Statistics of a server from load reports. Written by PressureEstimator; reset by OutlierDetector.
 struct ReportedLoad {
   std::map<int, ZoneStatistics> byProxyZone;
+  /// Recent latencies, for their minimum.
   SlidingMinimum latencies;
   Micros reportedAt = 0;
-  // Estimated for each decision.
-  /// Mean latency without the paths' penalties, in microseconds; 0: no reports.
+  // Estimated for each decision:
+  /// Mean latency without path penalties, in microseconds; 0: no reports.
   double latency = 0;
-  /// Latency as a share of the latency objective of the server's requests.
+  /// Mean latency divided by the latency objective of the server's requests.
   double pressure = 0;
   AttemptCounts counts;
 };
 
 /// Estimated load of a server. Written by LoadEstimator for each decision.
 struct EstimatedLoad {
-  /// Heat of this supervisor's slices with their desired primary there.
+  /// Heat of this supervisor's slices whose desired primary server this is.
   double ownHeat = 0;
-  /// The cohort of servers that changed at the same time; 0: none.
+  /// Index of the cohort of servers that changed at about the same time; 0: none.
   std::size_t cohort = 0;
-  /// What other supervisors' slices bring, as a share of the cohort's own heat.
+  /// Heat of other supervisors' slices on this server, as a multiple of the cohort's own heat.
   double peerShare = 0;
 };
 
-/// Written by CapacityEstimator.
+/// Estimated capacity of a server. Written by CapacityEstimator.
 struct EstimatedCapacity {
-  /// Capacity against what the listed weight says, 0 to 1.
+  /// Estimated capacity relative to the listed weight, 0 to 1.
   double factor = 1;
   Micros changedAt = 0;
 };
 
-/// Written by HotspotRule.
+/// State of the hotspot rule for a server. Written by HotspotRule.
 struct HotspotRecord {
-  /// Consecutive reports that pass both tests of the hotspot rule.
+  /// Consecutive reports with high latency and high heat.
   int hotReports = 0;
+  /// When its reports were last evaluated.
   Micros evaluatedAt = 0;
-  /// When it last lost a slice to the rule, or restarted.
+  /// When the rule last migrated a slice off it, or when it last restarted.
   Micros relievedAt = 0;
 };
 
-/// Written by HotspotRule and RecoveryFiller.
-struct MigrationTimes {
-  /// The next migration off this server.
-  Micros nextOffAt = 0;
-  /// The last migration to this server by RecoveryFiller.
-  Micros filledAt = 0;
+/// Rate limits of migrations. Written by HotspotRule and RecoveryFiller.
+struct MigrationLimits {
+  /// HotspotRule and RecoveryFiller migrate no slice off this server before this time.
+  Micros nextMigrationOffAt = 0;
+  /// When RecoveryFiller last migrated a slice to this server.
+  Micros lastFilledAt = 0;
 };
 
-/// Written by AdmissionController; the ratios by AdmissionRatios.
+/// Admission state of a server. Written by AdmissionController; `ratios` by AdmissionRatios.
 struct ServerAdmission {
-  /// Admission ratios that its slices should have, by class.
+  /// Desired admission ratios of the server's slices, by class.
   std::vector<double> ratios;
-  /// Share of its offered heat that is admitted.
+  /// Share of the offered heat that is admitted, 0 to 1.
   double admittedShare = 1;
-  /// Heat per listed weight that it may be sent; 0: no limit.
+  /// Maximum heat to admit to the server, per unit of listed weight; 0: no limit.
   double heatLimit = 0;
-  /// Heat per listed weight that it received when it was last found saturated.
+  /// Heat per unit of listed weight that the server received when it was last saturated.
   double saturationHeat = 0;
   Micros limitChangedAt = 0;
-  /// Increments of the limit, one after the other.
+  /// Number of consecutive increments of the limit.
   int increments = 0;
 };
 
@@ -123,19 +127,19 @@
   bool isListed = false;
   Micros firstSeenAt = 0;
 
-  // ---- Written by EndpointList, health checks, load reports and stored routes: only ever set ----
-  /// Whether it has answered, or was in a stored route.
+  // ---- Written by EndpointList, health checks, load reports and stored routes; never reset ----
+  /// Whether the server is known to exist: it has answered, or a cached list or a stored route names it.
   bool isConfirmed = false;
 
   // ---- Written by EndpointList, health checks and OutlierDetector ----
-  /// When it last started or was taken back; 0: never seen to change.
+  /// When the server last started or was readmitted after a failure; 0: no change was observed.
   Micros changedAt = 0;
 
   // ---- Written by OutlierDetector ----
   OutlierRecord outlier;
-  /// Removed from the list, yet its answers show that it is there.
+  /// Whether the server is no longer listed but still answers.
   bool isPresumedAlive = false;
-  /// When it was found draining or gone; 0: it is ready.
+  /// When the server was found to be draining or removed; 0: it is ready.
   Micros departedAt = 0;
   Micros nextHealthCheckAt = 0;
 
@@ -146,23 +150,26 @@
   EstimatedLoad load;
   EstimatedCapacity capacity;
   HotspotRecord hotspot;
-  MigrationTimes migrations;
+  MigrationLimits migrations;
   ServerAdmission admission;
 
   [[nodiscard]] bool startedWithin(Micros now, Micros span) const {
     return endpoint.startedAt > 0 && now - endpoint.startedAt < span;
   }
-  /// Ready by the list, or by its answers where the list dropped it.
+  /// Whether the server is ready according to the list, or still answers although the list no longer contains
+  /// it.
   [[nodiscard]] bool isReady() const {
     return (isListed || isPresumedAlive) && endpoint.state == EndpointState::Ready;
   }
-  /// May hold slices.
+  /// Whether the server may carry slices.
   [[nodiscard]] bool isUsable() const {
     return isReady() && !outlier.isOutlier() && isConfirmed && !ejection.isEjected();
   }
-  /// A new process: only what was published and what is known of the name stays.
+  /// Resets the state for a new server process. Keeps the published ejection, `firstSeenAt` and
+  /// `isConfirmed`.
   void restart(Micros now);
-  /// Takes over an entry of the list. `removalIsAdvisory`: a removed server keeps its last state.
+  /// Applies an entry of the endpoint list. `removalIsAdvisory`: a removed server keeps its last endpoint
+  /// state.
   void update(const Endpoint& listed, Micros now, bool removalIsAdvisory);
 };
 
--- a/src/decision/slice_state.h
+++ b/src/decision/slice_state.h
@@ -1,4 +1,4 @@
-// What the engine remembers of a slice of this supervisor, in groups with one writer each.
+// The state that the engine keeps of a slice of this supervisor, grouped by the component that writes it.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +16,8 @@
 /// Weights of a table's routes, by server.
 using RouteWeights = std::map<ServerId, double>;
 
-/// A route as it was last published, or read from the store. Where its delivery is unknown it may be in force
-/// or not, with any weight: it equals no desired weight and is therefore published again.
+/// A route as it was last published or read from the store. If its delivery is unknown, proxies may have it
+/// with any weight or not at all. It then differs from every desired weight, so that it is published again.
 class PublishedRoute {
  public:
   static PublishedRoute delivered(double weight) { return PublishedRoute(weight); }
@@ -30,54 +30,56 @@
   std::optional<double> weight_;
 };
 
-/// A change of owner of a SingleOwner slice. Written by SliceHandover.
+/// A change of the owner of a single-owner slice. Written by SliceHandover.
 struct Handover {
-  /// Proxies that have not acknowledged the removal of the old owner's route.
+  /// Proxies that have not yet acknowledged the removal of the old owner's route.
   std::set<ProxyId> unacknowledgedBy;
-  /// The update that removed it; -1: none.
+  /// Id of the update that removed the old owner's route; -1: none.
   int removalUpdateId = -1;
   /// The new owner's route must not be set before this time.
   Micros earliestAt = 0;
 };
 
 struct SliceState {
-  /// A slice that was assigned at `now`, with settings of so many request classes.
+  /// A slice that is assigned at `now`, without routes. `classes`: number of request classes.
   SliceState(Micros now, std::size_t classes);
 
   // ---- Written by Migrator, BackupAssigner and stored routes ----
   RouteWeights desired;
-  /// The server whose route carries the slice; empty: none.
+  /// The server that serves the slice, by its route in `desired`; empty: none.
   ServerId primary;
-  /// The primary server when this supervisor received the slice.
+  /// The primary server when the slice was assigned to this supervisor.
   ServerId initialPrimary;
   Micros migratedAt = 0;
   Micros assignedAt = 0;
-  /// Whether it left a server that could not keep it, and that is not published yet. Set by Evacuation.
+  /// Whether an evacuation of the slice has not been published yet. Set by Evacuation.
   bool hasUnpublishedEvacuation = false;
 
   // ---- Written by LoadEstimator ----
-  /// Requests, by class.
+  /// Recent requests, by class.
   std::vector<DecayingSum> demand;
-  // Estimated for each decision: requests a second by class, and their heat.
+  /// Requests a second, by class. Estimated for each decision.
   std::vector<double> rates;
+  /// Sum of `rates`, each multiplied by the cost of its class. Estimated for each decision.
   double heat = 0;
 
   // ---- Written by AdmissionRatios ----
-  /// Admission ratios by class, 0 to 1.
+  /// Desired admission ratios, 0 to 1, by class.
   std::vector<double> ratios;
 
   // ---- Written by UpdateScheduler and stored routes ----
   std::map<ServerId, PublishedRoute> published;
   std::vector<double> publishedRatios;
-  /// Classes, as a sum of 2^k, whose published ratio may not be in force.
+  /// Bit k: the delivery of the published ratio of class k is unknown.
   unsigned uncertainRatios = 0;
 
   Handover handover;
 
-  /// Whether the published table is the desired one.
+  /// Whether the published routes equal the desired ones.
   [[nodiscard]] bool isPublished() const;
+  /// Whether the published admission ratio of a class equals the desired one.
   [[nodiscard]] bool isRatioPublished(std::size_t requestClass) const;
-  /// The routes that turn the published table into the desired one: changes only.
+  /// The actions that turn the published routes into the desired ones.
   [[nodiscard]] std::vector<Action> changedRoutes(TableId table) const;
   /// Records an action as published.
   void publish(const SetRoute& route);
--- a/src/decision/sliding_minimum.h
+++ b/src/decision/sliding_minimum.h
@@ -1,4 +1,4 @@
-// The minimum over a sliding window.
+// The minimum over a sliding time window.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace peargrade::decision {
 
-/// The least of the values that were added within a window, which moves when a value is added.
+/// The minimum of recently added values. Adding a value drops those that are older than the window.
 class SlidingMinimum {
  public:
   void add(Micros now, double value, Micros window) {
@@ -17,15 +17,15 @@
     values_.emplace_back(now, value);
   }
 
-  /// 0: no value. A value of 0 counts as none.
+  /// The minimum of the values other than 0; 0 if there are none.
   [[nodiscard]] double minimum() const {
-    double least = 0;
-    for (const auto& [at, value] : values_) least = least == 0 ? value : std::min(least, value);
-    return least;
+    double result = 0;
+    for (const auto& [addedAt, value] : values_) result = result == 0 ? value : std::min(result, value);
+    return result;
   }
 
  private:
-  std::deque<std::pair<Micros, double>> values_;
+  std::deque<std::pair<Micros, double>> values_;  // when each was added, and the value
 };
 
 }  // namespace peargrade::decision
--- a/src/decision/zone_statistics.cpp
+++ b/src/decision/zone_statistics.cpp
@@ -21,13 +21,13 @@
 }
 
 bool ZoneStatistics::add(Micros now, const ServerLoadReport& report, Micros timeConstant) {
-  const auto all = static_cast<double>(report.attempts);
-  const auto failed = static_cast<double>(std::min(report.failures, report.attempts));
-  attempts.add(now, all, timeConstant);
-  failures.add(now, failed, timeConstant);
-  if (report.meanLatency <= 0 || all <= failed) return false;
-  successes.add(now, all - failed, timeConstant);
-  latencySum.add(now, (all - failed) * static_cast<double>(report.meanLatency), timeConstant);
+  const auto attemptCount = static_cast<double>(report.attempts);
+  const auto failureCount = static_cast<double>(std::min(report.failures, report.attempts));
+  attempts.add(now, attemptCount, timeConstant);
+  failures.add(now, failureCount, timeConstant);
+  if (report.meanLatency <= 0 || attemptCount <= failureCount) return false;
+  successes.add(now, attemptCount - failureCount, timeConstant);
+  latencySum.add(now, (attemptCount - failureCount) * static_cast<double>(report.meanLatency), timeConstant);
   return true;
 }
 
--- a/src/decision/zone_statistics.h
+++ b/src/decision/zone_statistics.h
@@ -1,4 +1,5 @@
-// Decaying counts of attempts, failures and latencies between a zone of proxies and one server or zone.
+// Decaying statistics of the attempts that the proxies of one zone sent to one server, or to one zone of
+// servers.
 #pragma once
 
 #include "decision/decaying_sum.h"
@@ -6,28 +7,28 @@
 
 namespace peargrade::decision {
 
-/// Decayed counts of attempts and of those that failed.
+/// Decayed numbers of all attempts and of the failed ones.
 struct AttemptCounts {
   double attempts = 0;
   double failures = 0;
 
-  /// 0 to 1; 0 without attempts.
+  /// Share of failed attempts, 0 to 1; 0 if there were no attempts.
   [[nodiscard]] double failureShare() const { return attempts > 0 ? failures / attempts : 0; }
 };
 
-/// What the proxies of one zone experienced at a server, or at all servers of a zone.
+/// Attempts of the proxies of one zone at one server, or at all servers of a zone.
 struct ZoneStatistics {
   DecayingSum attempts;
   DecayingSum failures;
   DecayingSum successes;
-  /// Microseconds, summed over the successes.
+  /// Sum of the latencies of the successful attempts, in microseconds.
   DecayingSum latencySum;
 
   [[nodiscard]] AttemptCounts counts(Micros now, Micros timeConstant) const;
-  /// Mean latency of the successes, in microseconds; 0: no successes.
+  /// Mean latency of the successful attempts, in microseconds; 0: none succeeded.
   [[nodiscard]] double meanLatency(Micros now, Micros timeConstant) const;
   void add(Micros now, const ZoneStatistics& other, Micros timeConstant);
-  /// Adds a load report. Returns whether it holds successful attempts.
+  /// Adds a load report. Returns whether it contains successful attempts.
   bool add(Micros now, const ServerLoadReport& report, Micros timeConstant);
 };
 
--- a/tests/decision/hotspot_rule_test.cpp
+++ b/tests/decision/hotspot_rule_test.cpp
@@ -1,4 +1,4 @@
-// The hotspot rule, report by report, and the capacity estimate beside it.
+// The hotspot rule, evaluated report by report, and the capacity estimate.
 #include "decision/hotspot_rule.h"
 
 #include <cstdlib>
@@ -8,7 +8,7 @@
 namespace peargrade::decision {
 namespace {
 
-/// Server "a" holds most of the heat; "b" is cool.
+/// Server "a" has most of the heat, server "b" little.
 class HotspotRuleTest : public ComponentFixture {
  protected:
   HotspotRuleTest() {
@@ -18,7 +18,7 @@
     addSlice(4, "b", 100);
     report(100 * kMillisecond);
   }
-  /// One report of each server, and one evaluation; "a" answers in `latency`.
+  /// Records one report of each server, with the given latency of "a", and evaluates them.
   void report(Micros latency) {
     clock_.advanceTo(clock_.now() + settings_.reportInterval);
     for (auto& [id, server] : servers_) server.reports.byProxyZone.clear();
@@ -46,7 +46,7 @@
   EXPECT_EQ(slicesOn("b"), 2u);
 }
 
-TEST_F(HotspotRuleTest, QuickReportStartsTheCountAgain) {
+TEST_F(HotspotRuleTest, ReportOfLowLatencyResetsTheCount) {
   report(500 * kMillisecond);
   report(500 * kMillisecond);
   report(100 * kMillisecond);
@@ -73,7 +73,7 @@
   servers_["a"].hotspot.hotReports = 3;
   hotspots_.relieve(servers_, slices_);
   ASSERT_EQ(slicesOn("a"), 3u);
-  const Micros wait = servers_["a"].migrations.nextOffAt - clock_.now();
+  const Micros wait = servers_["a"].migrations.nextMigrationOffAt - clock_.now();
   EXPECT_GE(wait, 2 * kSecond);
   EXPECT_LE(wait, 6 * kSecond);
   servers_["a"].hotspot.hotReports = 3;
@@ -92,7 +92,7 @@
   EXPECT_EQ(slicesOn("a"), 3u);
 }
 
-TEST_F(HotspotRuleTest, OverloadedServerAtFairLoadCountsForLess) {
+TEST_F(HotspotRuleTest, OverloadedServerAtFairLoadLosesCapacity) {
   for (const ServerId id : {"c", "d"}) servers_[id] = usableServer();
   estimate();
   servers_["a"].reports.pressure = 0.56;
@@ -106,7 +106,7 @@
   EXPECT_DOUBLE_EQ(servers_["a"].capacity.factor, 0.81);
 }
 
-/// Three servers of which "a" has a share of the mean load; the median one is relaxed.
+/// Three servers. The load of "a" is a share of the mean load; the server with median pressure is relaxed.
 class CapacityEstimatorTest : public ComponentFixture {
  protected:
   double factorAt(std::int64_t permilleOfMean) {
--- a/tests/decision/state_test.cpp
+++ b/tests/decision/state_test.cpp
@@ -1,4 +1,4 @@
-// The typed states of servers, slices and updates.
+// The state of servers, slices and updates; request costs and retry policies.
 #include <gtest/gtest.h>
 
 #include "component_settings.h"
@@ -10,7 +10,7 @@
 namespace peargrade::decision {
 namespace {
 
-TEST(PublishedEjectionTest, UnconfirmedReadmissionMayStillBeAnEjection) {
+TEST(PublishedEjectionTest, UnconfirmedReadmissionMayLeaveTheEjectionInForce) {
   PublishedEjection ejection;
   EXPECT_FALSE(ejection.mayBeInForce());
   ejection.publish(EjectionState::Ejected);
@@ -39,7 +39,7 @@
   EXPECT_TRUE(outlier.hasExpired(26));
 }
 
-TEST(ServerStateTest, RestartKeepsOnlyWhatWasPublishedAndWhatIsKnownOfTheName) {
+TEST(ServerStateTest, RestartKeepsOnlyEjectionConfirmationAndFirstSighting) {
   ServerState server = usableServer();
   server.firstSeenAt = 5;
   server.ejection.publish(EjectionState::Ejected);
@@ -85,7 +85,7 @@
   slice.markUncertain(SetRoute{1, "a", 1});
   slice.markUncertain(SetRoute{1, "b", 0});
   EXPECT_FALSE(slice.isPublished());
-  EXPECT_EQ(slice.changedRoutes(1).size(), 2u) << "a may be missing, b may be there";
+  EXPECT_EQ(slice.changedRoutes(1).size(), 2u) << "the route to a may be missing, the route to b may exist";
 }
 
 TEST(SliceStateTest, RatioOfUnknownDeliveryIsPublishedAgain) {
@@ -152,7 +152,7 @@
   const RequestCosts costs(settings);
   EXPECT_EQ(costs.shedOrder(), (std::vector<std::size_t>{1, 0}));
   EXPECT_EQ(costs.of(1), 2);
-  EXPECT_EQ(costs.highest(), 2);
+  EXPECT_EQ(costs.maxCost(), 2);
 }
 
 TEST(RetryPolicyTest, AnyFailureIsRetriedOnlyWhereThatIsSafeAndInTime) {
--- a/tests/decision/statistics_test.cpp
+++ b/tests/decision/statistics_test.cpp
@@ -1,4 +1,4 @@
-// Decaying sums, sliding minima and the statistics built on them.
+// Random numbers, decaying sums, sliding minima, and the statistics built on them.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -29,7 +29,7 @@
   }
 }
 
-TEST(DecayingSumTest, AmountCountsOneEthAfterItsTimeConstant) {
+TEST(DecayingSumTest, AddendDecaysToOneEthAfterTheTimeConstant) {
   DecayingSum sum;
   EXPECT_EQ(sum.at(kSecond, kSecond), 0);
   sum.add(kSecond, 10, kSecond);
@@ -39,7 +39,7 @@
   EXPECT_DOUBLE_EQ(sum.at(2 * kSecond, kSecond), 5 + 10 / std::exp(1));
 }
 
-TEST(SlidingMinimumTest, ForgetsValuesThatLeftTheWindow) {
+TEST(SlidingMinimumTest, DropsValuesOlderThanTheWindow) {
   SlidingMinimum values;
   EXPECT_EQ(values.minimum(), 0);
   values.add(0, 2, 10);
@@ -58,14 +58,14 @@
   EXPECT_FALSE(statistics.add(kSecond, report(0, 3, 3, 0), kSecond)) << "no success";
 }
 
-/// A server in zone 0 with reports of the proxies in the zones 0 and 1.
+/// A server in zone 0 with reports from proxies in zones 0 and 1.
 class PathEstimatorTest : public testing::Test {
  protected:
   PathPenalty penaltyOfZone1(const ServerLoadReport& near, const ServerLoadReport& far) {
     ServerMap servers;
     servers["a"] = usableServer();
-    servers["a"].reports.byProxyZone[0].add(kSecond, near, kReportMemory);
-    servers["a"].reports.byProxyZone[1].add(kSecond, far, kReportMemory);
+    servers["a"].reports.byProxyZone[0].add(kSecond, near, kReportTimeConstant);
+    servers["a"].reports.byProxyZone[1].add(kSecond, far, kReportTimeConstant);
     paths_.estimate(servers, kSecond);
     return paths_.penalty(0, 1);
   }
@@ -78,7 +78,7 @@
   EXPECT_DOUBLE_EQ(penaltyOfZone1(report(0, 10, 0, 1000), report(1, 10, 0, 2010)).latency, 1010);
 }
 
-TEST_F(PathEstimatorTest, PathIsLossyOverAFewMoreFailuresThanTheBest) {
+TEST_F(PathEstimatorTest, PathIsLossyOverFivePercentMoreFailuresThanTheBest) {
   EXPECT_EQ(penaltyOfZone1(report(0, 10000, 100, 1000), report(1, 10000, 599, 1000)).failureShare, 0);
   EXPECT_NEAR(penaltyOfZone1(report(0, 10000, 100, 1000), report(1, 10000, 601, 1000)).failureShare, 0.0501,
               1e-9);
@@ -116,7 +116,7 @@
   EXPECT_DOUBLE_EQ(servers_["a"].reports.pressure, 0.3 / 2);
 }
 
-TEST_F(PressureEstimatorTest, LeastLatencyNeedsFourSuccessesAndLasts30Seconds) {
+TEST_F(PressureEstimatorTest, MinimumLatencyNeedsFourSuccessesAndLasts30Seconds) {
   pressure_.record(report(0, 3, 0, 100), servers_);
   estimate();
   EXPECT_EQ(servers_["a"].reports.latencies.minimum(), 0);
@@ -134,7 +134,7 @@
   }
 }
 
-TEST_F(PressureEstimatorTest, ReportOfTheTimeBeforeAStartIsIgnored) {
+TEST_F(PressureEstimatorTest, ReportOfTheTimeBeforeARestartIsIgnored) {
   servers_["a"].endpoint.startedAt = 999 * kSecond;
   servers_["a"].isConfirmed = false;
   pressure_.record(report(0, 10, 0, 100), servers_);
