--- a/tests/decision/action_hash.h
+++ b/tests/decision/action_hash.h
@@ -1,4 +1,4 @@
-// A hash over actions of the decision engine.
+// A hash over a sequence of actions of the decision engine.
 #pragma once
 
 #include <cstdint>
@@ -32,8 +32,8 @@
   std::uint64_t value_ = 0xcbf29ce484222325ULL;
 };
 
-/// Folds an action of time `at` into the hash: the values of all its fields in their order, so that renaming
-/// a field changes nothing. The texts of `Log` are left out.
+/// Adds an action returned at time `at` to the hash: the values of all fields in their order. Names of fields
+/// do not matter, and neither does the text of a Log action.
 void foldAction(Hash& hash, Micros at, const Action& action);
 
 }  // namespace peargrade::test
--- a/tests/decision/behaviour_test.cpp
+++ b/tests/decision/behaviour_test.cpp
@@ -1,6 +1,6 @@
-// The decisions of the module over an hour of simulated time, as hashes. They were recorded on commit 0e4fe96
-// and hold while code is only made easier to read. A change of decisions that is meant records them anew and
-// says so in its commit.
+// Regression test of the engine's decisions: hashes over all actions in about an hour of simulated time,
+// recorded on commit 0e4fe96. They must not change in a refactoring. A commit that changes decisions
+// intentionally updates them and says so in its message.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -14,11 +14,11 @@
 namespace peargrade::test {
 namespace {
 
-constexpr Micros kSpan = 300 * Micros{1000000};  // a deployment and seed: over an hour in all
+constexpr Micros kSpan = 300 * Micros{1000000};  // for each deployment and seed
 
 class RecordedBehaviour : public testing::TestWithParam<int> {};
 
-// Actions of each deployment, for the seeds 1 and 2.
+// Hash over the actions of each deployment, for seeds 1 and 2.
 const std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>& recordedHashes() {
   static const std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> hashes{
       {"SharedSlices", {0x6e3e25b929f3d2d2ULL, 0xd51d582399f2157cULL}},
@@ -32,7 +32,7 @@
   return hashes;
 }
 
-TEST_P(RecordedBehaviour, ActionsAreThoseRecorded) {
+TEST_P(RecordedBehaviour, ActionsMatchTheRecordedHashes) {
   const Deployment deployment = recordedDeployments().at(static_cast<std::size_t>(GetParam()));
   const auto& [first, second] = recordedHashes().at(deployment.name);
   EXPECT_EQ(actionHash(deployment, 1, kSpan), first) << deployment.name << ", seed 1";
--- a/tests/decision/combined_faults_test.cpp
+++ b/tests/decision/combined_faults_test.cpp
@@ -1,5 +1,5 @@
-// Every two faults at once: whatever overlaps, the rules that one supervisor can keep alone are kept, and all
-// slices end up on servers that are listed as ready.
+// Every pair of faults at the same time. The rules that a single supervisor can enforce must hold, and all
+// slices must end up on servers that are listed as ready.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -16,7 +16,7 @@
 
 struct Fault {
   const char* name;
-  /// `cachedList`: the endpoint list before the first fault.
+  /// Injects the fault. `cachedList`: the endpoint list before the first fault.
   void (*begin)(SimulatedSupervisor&, const EndpointListUpdate& cachedList);
 };
 
@@ -82,11 +82,12 @@
 };
 constexpr int kFaultCount = sizeof kFaults / sizeof kFaults[0];
 
-// ---- What must hold ----
+// ---- Checks ----
 
-void expectDrainKept(SimulatedSupervisor& supervisor) {
+void expectNoRouteToDrainingServer(SimulatedSupervisor& supervisor) {
   for (const TableId slice : supervisor.assignedSlices)
-    EXPECT_EQ(supervisor.routes[slice].count("s_e"), 0U) << "drain not kept, slice " << slice;
+    EXPECT_EQ(supervisor.routes[slice].count("s_e"), 0U)
+        << "slice still routed to the draining server, slice " << slice;
 }
 
 void expectSlicesOnReadyServers(SimulatedSupervisor& supervisor) {
@@ -98,7 +99,7 @@
   }
 }
 
-void expectMessageLimitKept(const SimulatedSupervisor& supervisor) {
+void expectMessageLimitHolds(const SimulatedSupervisor& supervisor) {
   const Settings& settings = supervisor.settings;
   for (const Micros start : supervisor.updateTimes) {
     int updatesInWindow = 0;
@@ -108,9 +109,9 @@
   }
 }
 
-// Two faults by their index, a second apart. Between them s_e drains, so that there is always a drain to
-// keep.
-void playFaults(std::pair<int, int> faults, const Settings& settings) {
+// Injects two faults, given by index, one second apart. In between s_e starts to drain, so that every run
+// also checks that slices leave a draining server in time.
+void injectFaults(std::pair<int, int> faults, const Settings& settings) {
   const Fault& first = kFaults[faults.first];
   const Fault& second = kFaults[faults.second];
   SCOPED_TRACE(std::string(first.name) + " with " + second.name);
@@ -123,12 +124,12 @@
   second.begin(supervisor, cachedList);
   supervisor.handle({supervisor.endpointList(EndpointListKind::Full)});
   supervisor.run(settings.drainGrace - settings.pushDelayMax);
-  expectDrainKept(supervisor);
+  expectNoRouteToDrainingServer(supervisor);
   supervisor.run(20 * kSecond);
   ASSERT_NO_FATAL_FAILURE(expectSlicesOnReadyServers(supervisor));
   EXPECT_TRUE(supervisor.unassignedSlicesUpdated.empty())
       << "update of an unassigned slice, first " << *supervisor.unassignedSlicesUpdated.begin();
-  expectMessageLimitKept(supervisor);
+  expectMessageLimitHolds(supervisor);
 }
 
 // ---- All pairs ----
@@ -143,21 +144,22 @@
   return pairs;
 }
 
-TEST_P(CombinedFaults, KeepTheRules) { playFaults(GetParam(), testSettings()); }
+TEST_P(CombinedFaults, RulesHold) { injectFaults(GetParam(), testSettings()); }
 
-// A twentieth of the throughput and of the pending routes: urgent updates still go out in time.
-TEST_P(CombinedFaults, KeepTheRulesOnASlowChannel) {
+// With a twentieth of the throughput and of the pending routes, urgent updates must still be delivered in
+// time.
+TEST_P(CombinedFaults, RulesHoldOnASlowChannel) {
   Settings settings = testSettings();
   settings.routesPerSecond = 1500;
   settings.pendingRoutesMax = 1500;
-  playFaults(GetParam(), settings);
+  injectFaults(GetParam(), settings);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, CombinedFaults, testing::ValuesIn(allPairs()), [](const auto& info) {
   return std::string(kFaults[info.param.first].name) + "And" + kFaults[info.param.second].name;
 });
 
-TEST(AllFaultsInTurn, GiveTheSameDecisionsWhenRepeated) {
+TEST(AllFaultsInSequence, RepeatedRunGivesTheSameDecisions) {
   const auto play = [] {
     SimulatedSupervisor supervisor(testSettings(), kServers);
     supervisor.startAndRun(kSlices, 5 * kSecond);
--- a/tests/decision/component_fixture.h
+++ b/tests/decision/component_fixture.h
@@ -1,4 +1,4 @@
-// The components of a decision around a small fleet, for tests of single steps.
+// The components of the decision engine with a small fleet, for tests of single steps of a decision.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,16 +17,18 @@
 
 namespace peargrade::decision {
 
-/// Components as DecisionEngine connects them. The slices of the settings are all this supervisor's.
+/// Components connected as in DecisionEngine. All slices of the fleet are assigned to this supervisor.
 class ComponentFixture : public testing::Test {
  protected:
   ComponentFixture() { clock_.advanceTo(1000 * kSecond); }
 
+  /// Adds a published slice and a load report of `requests` requests of class 0 within one second.
   void addSlice(TableId table, const ServerId& primary, std::int64_t requests) {
     slices_.emplace(table, publishedSlice(primary));
     load_.record({table, 0, requests, 0, kSecond}, slices_);
     settings_.slices = static_cast<int>(slices_.size());
   }
+  /// Runs the estimation steps of a decision in their order.
   void estimate() {
     load_.estimateOwnHeat(servers_, slices_);
     pressure_.estimate(servers_, slices_, {1, 1});
--- a/tests/decision/component_settings.h
+++ b/tests/decision/component_settings.h
@@ -1,4 +1,4 @@
-// Settings and state for tests of single components of the decision module.
+// Settings, servers and slices for tests of single components of the decision engine.
 #pragma once
 
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace peargrade::decision {
 
-/// Two classes with latency objectives of 1 s and 2 s; the second has three times the priority weight.
+/// Settings with two request classes: latency objectives of 1 s and 2 s, priority weights of 1 and 3.
 inline Settings componentSettings() {
   Settings settings;
   RequestClass low;
@@ -38,7 +38,7 @@
   return server;
 }
 
-/// A slice that was assigned long ago, with a published route to its primary server.
+/// A slice that was assigned long ago and whose desired route to its primary server is published.
 inline SliceState publishedSlice(const ServerId& primary) {
   SliceState slice(0, componentSettings().classes.size());
   slice.primary = primary;
--- a/tests/decision/hotspot_migration_test.cpp
+++ b/tests/decision/hotspot_migration_test.cpp
@@ -1,4 +1,5 @@
-// The hotspot rule: a server that is slow and has more heat than its share loses one slice at a time.
+// The hotspot rule in a whole engine: a server with high latency and more heat than its fair share loses one
+// slice at a time.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -15,8 +16,8 @@
   return settings;
 }
 
-// Of four servers with four slices each, s_a has the slices 0, 4, 8 and 12: slice 0 is the hottest, and slice
-// 4 is the coolest one above half of it.
+// Four servers with four slices each. s_a has the slices 0, 4, 8 and 12: slice 0 is the hottest, and slice 4
+// is the coolest one that has more than half of the heat of slice 0.
 class HotspotRule : public testing::Test {
  protected:
   HotspotRule() {
@@ -39,7 +40,7 @@
   EXPECT_EQ(supervisor.primaryServer(8), "s_a");
 }
 
-// Two for the primary server, two for the backup.
+// Two changes of the primary route (new and old server) and two of the backup route.
 TEST_F(HotspotRule, MigrationSetsAtMostFourRoutes) {
   const int routesSet = supervisor.routesSet;
   supervisor.latencies["s_a"] = kHighLatency;
@@ -68,7 +69,7 @@
   EXPECT_EQ(supervisor.countLogLines("to s_e from s_a: hot"), 0);
 }
 
-// ---- Other traffic ----
+// ---- Other distributions of load ----
 
 TEST(HotspotRuleThresholds, SlowServerBelowItsShareKeepsItsSlices) {
   SimulatedSupervisor supervisor;
@@ -79,7 +80,7 @@
   EXPECT_EQ(supervisor.countLogLines(": hot"), 0);
 }
 
-// A server that is slow from its first report on has no low latency of its own: the fleet's is the reference.
+// A server that is slow from its first report on has no low minimum latency of its own to compare with.
 TEST(HotspotRuleThresholds, ServerSlowFromItsFirstReportIsComparedWithTheFleet) {
   SimulatedSupervisor supervisor(settingsWithSlices(16));
   supervisor.requestRates[{0, 0}] = 32;
@@ -100,7 +101,7 @@
 
 TEST(HotspotRuleThresholds, SliceTooHotForAnyTargetStays) {
   SimulatedSupervisor supervisor(settingsWithSlices(4));
-  supervisor.requestRates[{0, 0}] = 200;  // alone more than a server's share of all
+  supervisor.requestRates[{0, 0}] = 200;  // more than the fair share of a server
   supervisor.startAndRun(4, 6 * kSecond);
   supervisor.latencies["s_a"] = kHighLatency;
   supervisor.run(8 * kSecond);
--- a/tests/decision/load_estimator_test.cpp
+++ b/tests/decision/load_estimator_test.cpp
@@ -1,4 +1,4 @@
-// Heat of slices, servers and cohorts.
+// Estimated heat of slices, servers and cohorts; planned ejections.
 #include "decision/load_estimator.h"
 
 #include <random>
@@ -39,7 +39,7 @@
   EXPECT_EQ(servers_["a"].load.ownHeat, 0);
 }
 
-TEST_F(LoadEstimatorTest, NewSliceCountsAsAMeanOneUntilItIsReported) {
+TEST_F(LoadEstimatorTest, NewSliceHasTheMeanHeatUntilItIsReported) {
   addSlice(1, "a", 100);
   addSlice(2, "a", 300);
   slices_.emplace(3, SliceState(clock_.now(), 2));
@@ -58,7 +58,7 @@
   EXPECT_NE(servers_["a"].load.cohort, servers_["c"].load.cohort);
 }
 
-TEST_F(LoadEstimatorTest, OtherSupervisorsAddToACohortAsOwnSlicesDo) {
+TEST_F(LoadEstimatorTest, OtherSupervisorsAddHeatToACohortInProportionToOwnHeat) {
   for (const ServerId id : {"a", "b", "c"}) servers_[id].changedAt = clock_.now();
   addSlice(1, "a", 100);
   settings_.slices = 4;
@@ -69,9 +69,9 @@
   EXPECT_DOUBLE_EQ(load_.heatOn(servers_["b"]), 3 * own / 3);
 }
 
-// A supervisor may be assigned more slices than the settings name. A scale below 1 would make peers' heat
-// negative, and no server the coolest one.
-TEST_F(LoadEstimatorTest, MoreSlicesThanTheSettingsNameAddNoNegativePeerHeat) {
+// A supervisor may be assigned more slices than the settings state for the fleet. With a scale below 1 the
+// heat of other supervisors would be negative, and Placement would find no coolest server.
+TEST_F(LoadEstimatorTest, MoreSlicesThanInTheSettingsAddNoNegativePeerHeat) {
   for (const ServerId id : {"a", "b", "c"}) servers_[id].changedAt = clock_.now();
   addSlice(1, "a", 100);
   addSlice(2, "a", 100);
@@ -82,8 +82,8 @@
   EXPECT_GE(load_.projectedLoad(servers_["b"]), 0);
 }
 
-// Heats that are subtracted one by one may leave a sum below 0 by rounding: then no server was the coolest
-// one.
+// Subtracting the heat of one slice after the other can make the sum negative by rounding. Placement found no
+// coolest server then.
 TEST_F(LoadEstimatorTest, MigrationOfAllSlicesLeavesNoNegativeHeat) {
   SliceState idle(clock_.now(), settings_.classes.size());
   idle.primary = "c";
@@ -101,7 +101,7 @@
   }
 }
 
-/// A draining server that is the only one of a published table.
+/// A published table whose only route is to a draining server.
 class EjectionPlannerTest : public ComponentFixture {
  protected:
   EjectionPlannerTest() {
@@ -132,7 +132,7 @@
   EXPECT_EQ(ejections[0].state, EjectionState::Ejected);
 }
 
-TEST_F(EjectionPlannerTest, ServerIsEjectedAtOnceWhereItsTableHasARoutableOne) {
+TEST_F(EjectionPlannerTest, ServerIsEjectedImmediatelyIfItsTableHasARoutableOne) {
   slices_.at(1).published.insert_or_assign("b", PublishedRoute::delivered(0.001));
   EXPECT_EQ(planAfter(0).size(), 1u);
 }
@@ -148,7 +148,7 @@
   EXPECT_EQ(ejections[0].state, EjectionState::Readmitted);
 }
 
-TEST_F(EjectionPlannerTest, ReadyServerIsReadmittedDespiteStaleRoutesWhereNoServerIsUsable) {
+TEST_F(EjectionPlannerTest, ReadyServerIsReadmittedDespiteStaleRoutesIfNoServerIsUsable) {
   servers_["a"].endpoint.state = EndpointState::Ready;
   for (const ServerId id : {"a", "b"}) servers_[id].ejection.publish(EjectionState::Ejected);
   slices_.at(1).desired = {{"b", 1}};
--- a/tests/decision/long_run_test.cpp
+++ b/tests/decision/long_run_test.cpp
@@ -1,4 +1,4 @@
-// Long runs: memory stays bounded while the fleet is replaced again and again.
+// Long runs: memory stays bounded while the servers of the fleet are replaced repeatedly.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -18,12 +18,12 @@
   return "r" + std::to_string(round) + "_" + std::to_string(index);
 }
 
-// The round in which a server started; -1: before the first.
+// The round in which a server started; -1: before the first round.
 int startRound(const ServerId& server) {
   return server.compare(0, 1, "r") == 0 ? std::atoi(server.c_str() + 1) : -1;
 }
 
-// Four new servers start, and all others drain and are removed.
+// Starts four new servers, then drains and removes all others.
 void replaceFleet(SimulatedSupervisor& supervisor, int round) {
   for (int index = 0; index < 4; ++index)
     supervisor.updateEndpoint(successorName(round, index), EndpointState::Ready, supervisor.now);
@@ -40,7 +40,7 @@
   supervisor.run(4 * kSecond);
 }
 
-// Drops what the fixture itself collects over time.
+// Clears what SimulatedSupervisor itself accumulates, since it would count as growth.
 void clearRecords(SimulatedSupervisor& supervisor) {
   supervisor.logLines.clear();
   supervisor.updateTimes.clear();
--- a/tests/decision/negative_load_test.cpp
+++ b/tests/decision/negative_load_test.cpp
@@ -1,5 +1,5 @@
-// Random restarts, removals and changes of slices on weighted endpoints: decisions must go on whatever load
-// is estimated.
+// Random restarts, removals and slice assignments with weighted endpoints. A negative load estimate once made
+// Placement crash the process: the engine must keep deciding whatever load it estimates.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -15,7 +15,8 @@
 constexpr int kSteps = 400;
 constexpr Micros kStep = 250 * kMillisecond;
 
-/// One draw of all that a step may need, so that the sequence does not depend on the kind of step.
+/// The random values of one step. All are drawn for every kind of step, so that the random sequence does not
+/// depend on the kind.
 struct Step {
   explicit Step(std::mt19937& random)
       : kind(static_cast<int>(random() % 16)),
@@ -74,8 +75,8 @@
   }
 }
 
-// In a process of its own: the fault that it shows ends the process.
-TEST(NegativeLoad, RandomChangesOfServersAndSlicesEndNoProcess) {
+// Runs in a child process, since the fault that it detects crashes the process.
+TEST(NegativeLoad, RandomChangesOfServersAndSlicesDoNotCrash) {
   EXPECT_EXIT(
       {
         play();
--- a/tests/decision/placement_test.cpp
+++ b/tests/decision/placement_test.cpp
@@ -1,4 +1,4 @@
-// Placement of slices: which server a slice gets when it has none, or when its server leaves.
+// Placement of slices that have no server, or whose server drains, is removed or restarts.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -6,9 +6,9 @@
 namespace peargrade {
 namespace {
 
-TEST(Placement, UnroutedSliceGoesToTheCoolestServer) {
+TEST(Placement, SliceWithoutARouteIsPlacedOnTheCoolestServer) {
   SimulatedSupervisor supervisor;
-  supervisor.requestRates[{3, 0}] = 2;  // slices 3 and 7 are those of s_d
+  supervisor.requestRates[{3, 0}] = 2;  // s_d has the slices 3 and 7
   supervisor.requestRates[{7, 0}] = 2;
   supervisor.startAndRun(8, 8 * kSecond);
   supervisor.handle({SliceAssignment{9, true}});
@@ -17,19 +17,20 @@
 
 TEST(Placement, SlicesOfARemovedServerAreSpreadByProjectedHeat) {
   SimulatedSupervisor supervisor;
-  supervisor.startAndRun(12, 8 * kSecond);  // three a server
+  supervisor.startAndRun(12, 8 * kSecond);  // three slices per server
   supervisor.updateEndpoint("s_a", EndpointState::Removed);
   EXPECT_EQ(supervisor.primaryCount("s_b"), 4);
   EXPECT_EQ(supervisor.primaryCount("s_c"), 4);
   EXPECT_EQ(supervisor.primaryCount("s_d"), 4);
 }
 
-// A server may be overloaded by little traffic: a slow machine, costly keys, slices of other supervisors.
-TEST(Placement, OverloadedServerIsNoTargetThoughItsHeatIsLow) {
+// A server can be overloaded with little heat: on a slow machine, by expensive keys, or by slices of other
+// supervisors.
+TEST(Placement, OverloadedServerWithLowHeatIsNoTarget) {
   SimulatedSupervisor supervisor(testSettings(), 6);
   for (TableId slice = 0; slice < 24; ++slice)
     supervisor.requestRates[{slice, 0}] =
-        slice % 6 == 1 ? 2 : 10;  // s_b gets a fifth of the traffic of others
+        slice % 6 == 1 ? 2 : 10;  // s_b gets a fifth of the traffic of the others
   supervisor.latencies["s_b"] = 2200 * kMillisecond;
   supervisor.startAndRun(24, 8 * kSecond);
   const int slicesBefore = supervisor.primaryCount("s_b");
@@ -39,8 +40,8 @@
   EXPECT_LE(supervisor.primaryCount("s_b"), slicesBefore);
 }
 
-// Slices of a supervisor that died come without any load report: if they counted as idle, one server would
-// get all.
+// When another supervisor fails, its slices are assigned to this one, which has no load reports of them. If
+// they counted as idle, all of them would be placed on the same server.
 TEST(Placement, NewlyAssignedSlicesCountWithMeanHeat) {
   SimulatedSupervisor supervisor;
   supervisor.startAndRun(8, 8 * kSecond);
@@ -83,7 +84,7 @@
                            return info.param == EndpointState::Draining ? "Draining" : "Removed";
                          });
 
-TEST(Placement, RestartedServerIsLeftAtOnce) {
+TEST(Placement, SlicesLeaveARestartedServerImmediately) {
   SimulatedSupervisor supervisor;
   supervisor.startAndRun(12, 8 * kSecond);
   supervisor.updateEndpoint("s_b", EndpointState::Ready, supervisor.now - 500 * kMillisecond);
@@ -102,7 +103,8 @@
   EXPECT_EQ(supervisor.countLogLines("restarted"), migrations);
 }
 
-// A failing server has no load and so looks like the best target once the warming servers are at their limit.
+// A failing server has no load, so that it would be the coolest target once the warming servers are at their
+// limit.
 TEST(Placement, FailingServerIsNoTargetWhenWarmingServersAreAtTheirLimit) {
   Settings settings = testSettings();
   settings.slices = 120;
@@ -119,7 +121,7 @@
   EXPECT_EQ(supervisor.primaryCount("s_x") + supervisor.primaryCount("s_y"), 24);
 }
 
-TEST(Placement, RoutesStayWhereNoServerIsLeft) {
+TEST(Placement, RoutesRemainIfNoServerIsReady) {
   SimulatedSupervisor supervisor(testSettings(), 1);
   supervisor.startAndRun(4, 2 * kSecond);
   supervisor.updateEndpoint("s_a", EndpointState::Draining);
--- a/tests/decision/recorded_deployments.cpp
+++ b/tests/decision/recorded_deployments.cpp
@@ -46,31 +46,31 @@
   polled.settings.admissionUnit = AdmissionUnit::Ratio;
   deployments.push_back(polled);
 
-  Deployment single{"SingleOwnerSlices", sharedSlices(), 12, 2, 16, 24};
-  single.settings.sliceOwnership = SliceOwnership::SingleOwner;
-  single.settings.slices = 48;
-  single.settings.lease = 3 * kSecond;
-  single.settings.inFlightWriteMax = 700 * kMillisecond;
-  single.settings.admissionUnit = AdmissionUnit::Unsupported;
-  single.settings.pendingRoutesMax = 60000;
-  deployments.push_back(single);
+  Deployment singleOwner{"SingleOwnerSlices", sharedSlices(), 12, 2, 16, 24};
+  singleOwner.settings.sliceOwnership = SliceOwnership::SingleOwner;
+  singleOwner.settings.slices = 48;
+  singleOwner.settings.lease = 3 * kSecond;
+  singleOwner.settings.inFlightWriteMax = 700 * kMillisecond;
+  singleOwner.settings.admissionUnit = AdmissionUnit::Unsupported;
+  singleOwner.settings.pendingRoutesMax = 60000;
+  deployments.push_back(singleOwner);
 
-  Deployment checked{"HealthChecks", sharedSlices(), 16, 2, 20, 40};
-  checked.settings.healthChecksAllowed = true;
-  checked.settings.deliveryReported = false;
-  checked.settings.slices = 40;
-  checked.firstList = 2 * kSecond;
-  checked.settings.proxies = 0;
-  checked.settings.messagesPerProxyMax = 12;
-  checked.settings.pendingRoutesMax = 1e9;
-  deployments.push_back(checked);
+  Deployment healthChecked{"HealthChecks", sharedSlices(), 16, 2, 20, 40};
+  healthChecked.settings.healthChecksAllowed = true;
+  healthChecked.settings.deliveryReported = false;
+  healthChecked.settings.slices = 40;
+  healthChecked.firstList = 2 * kSecond;
+  healthChecked.settings.proxies = 0;
+  healthChecked.settings.messagesPerProxyMax = 12;
+  healthChecked.settings.pendingRoutesMax = 1e9;
+  deployments.push_back(healthChecked);
 
-  Deployment quiet{"LittleTraffic", sharedSlices(), 20, 2, 12, 101};
-  quiet.settings.slices = 101;
-  quiet.settings.removalIsAdvisory = true;
-  quiet.traffic = 0.04;
-  quiet.firstList = 3 * kSecond;
-  deployments.push_back(quiet);
+  Deployment lowTraffic{"LittleTraffic", sharedSlices(), 20, 2, 12, 101};
+  lowTraffic.settings.slices = 101;
+  lowTraffic.settings.removalIsAdvisory = true;
+  lowTraffic.traffic = 0.04;
+  lowTraffic.firstList = 3 * kSecond;
+  deployments.push_back(lowTraffic);
 
   Deployment erratic{"ErraticReports", sharedSlices(), 14, 3, 10, 40};
   erratic.settings.slices = 80;
--- a/tests/decision/recorded_deployments.h
+++ b/tests/decision/recorded_deployments.h
@@ -1,4 +1,4 @@
-// The deployments whose decisions are recorded.
+// The simulated deployments for which behaviour_test.cpp holds recorded decisions.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace peargrade::test {
 
-/// One deployment to play: its settings and the size of the simulated fleet.
+/// Settings and size of one simulated fleet.
 struct Deployment {
   std::string name;
   Settings settings;
@@ -16,14 +16,14 @@
   int zones = 2;
   int proxies = 40;
   int ownedSlices = 32;         // of settings.slices; 0 where tables are per proxy
-  double traffic = 1;           // requests of a slice against the usual ones
+  double traffic = 1;           // factor on the request rates of the slices
   Micros firstList = 300000;    // from the start to the first endpoint list, in microseconds
-  bool erraticReports = false;  // load reports are drawn, not simulated
+  bool erraticReports = false;  // load reports are random instead of simulated
 };
 
-/// Deployments that differ in what decides on the module's paths: shared and single-owner slices, no slices,
-/// health checks, lists that are watched or polled, lists that are only advice, narrow and wide update
-/// channels.
+/// Deployments that together cover the engine's modes: shared and single-owner slices, tables per proxy,
+/// health checks, endpoint lists that are pushed or requested, advisory removals, update channels of low and
+/// high throughput.
 std::vector<Deployment> recordedDeployments();
 
 }  // namespace peargrade::test
--- a/tests/decision/recorded_fleet.cpp
+++ b/tests/decision/recorded_fleet.cpp
@@ -9,7 +9,7 @@
 namespace peargrade::test {
 namespace {
 
-/// A slice that no supervisor has.
+/// A slice that is not assigned to any supervisor.
 constexpr TableId kUnknownTable = 9999;
 
 }  // namespace
@@ -28,7 +28,7 @@
 }
 
 std::uint64_t RecordedFleet::play(Micros span) {
-  begin();
+  start();
   const Micros end = kStart + span;
   scheduleIncidents(end);
   while (!queue_.empty() && queue_.begin()->first < end) step();
@@ -45,12 +45,12 @@
 void RecordedFleet::step() {
   const auto first = queue_.begin();
   now_ = first->first;
-  Pending pending = std::move(first->second);
+  ScheduledWork work = std::move(first->second);
   queue_.erase(first);
-  if (pending.task != nullptr) (this->*pending.task)();
-  pending.events.insert(pending.events.end(), outbox_.begin(), outbox_.end());
-  outbox_.clear();
-  if (!pending.events.empty()) handle(pending.events);
+  if (work.task != nullptr) (this->*work.task)();
+  work.events.insert(work.events.end(), pendingEvents_.begin(), pendingEvents_.end());
+  pendingEvents_.clear();
+  if (!work.events.empty()) handle(work.events);
 }
 
 void RecordedFleet::handle(const std::vector<Event>& events) {
@@ -106,8 +106,8 @@
   schedule(now_ + random_.delay(20 * kMillisecond, 400 * kMillisecond), std::move(update));
 }
 
-// What becomes of an update: it is accepted, is lost or is accepted in several messages; proxies
-// acknowledge it later.
+// Simulates the delivery of an update: it is accepted in one or several messages, or lost. Proxies
+// acknowledge an accepted update later.
 void RecordedFleet::deliver(int updateId) {
   const Micros accepted =
       now_ + random_.delay(5 * kMillisecond, isChannelSlow_ ? 3 * kSecond : 150 * kMillisecond);
@@ -141,23 +141,23 @@
 }
 
 EndpointListUpdate RecordedFleet::fullListUpdate() const {
-  EndpointListUpdate update{EndpointListKind::Full, ++version_, {}};
+  EndpointListUpdate update{EndpointListKind::Full, ++listVersion_, {}};
   for (const ServerId& id : listed_) update.endpoints.push_back(servers_.at(id).endpoint);
   return update;
 }
 
 void RecordedFleet::announce(const ServerId& id) {
-  EndpointListUpdate update{EndpointListKind::Delta, ++version_, {servers_[id].endpoint}};
+  EndpointListUpdate update{EndpointListKind::Delta, ++listVersion_, {servers_[id].endpoint}};
   schedule(now_ + random_.delay(10 * kMillisecond, 700 * kMillisecond), std::move(update));
 }
 
-ServerId RecordedFleet::anyListed() {
+ServerId RecordedFleet::randomListedServer() {
   auto it = listed_.begin();
   std::advance(it, random_.below(static_cast<int>(listed_.size())));
   return *it;
 }
 
-void RecordedFleet::begin() {
+void RecordedFleet::start() {
   now_ = kStart;
   EndpointListUpdate cached = fullListUpdate();
   cached.kind = EndpointListKind::Cached;
@@ -166,7 +166,7 @@
   for (int k = 0; k < deployment_.proxies; ++k) connect(k, events);
   for (int table = 0; table < deployment_.ownedSlices; ++table) {
     SimulatedSlice& slice = slices_[table];
-    drawRates(slice, table);
+    randomizeRates(slice, table);
     const auto primary = static_cast<std::size_t>(table) % listed_.size();
     slice.routes = {{*std::next(listed_.begin(), static_cast<std::ptrdiff_t>(primary)), 1.0}};
     assign(table, events);
@@ -176,7 +176,7 @@
   scheduleTask(now_ + kMillisecond, &RecordedFleet::triggerDecision);
 }
 
-void RecordedFleet::drawRates(SimulatedSlice& slice, TableId table) {
+void RecordedFleet::randomizeRates(SimulatedSlice& slice, TableId table) {
   const std::size_t classes = settings_.classes.size();
   slice.admissionRatios.assign(classes, 1);
   slice.rates.assign(classes, 0);
@@ -199,11 +199,11 @@
   proxies_[proxy] = zone;
 }
 
-// Events about a slice of nobody here: they degradeServer nothing but the times at which the module decides.
+// Events about an unassigned slice have no effect except that the engine makes a decision at that time.
 void RecordedFleet::triggerDecision() {
-  outbox_.emplace_back(SliceAssignment{kUnknownTable, false});
-  const bool starting = now_ - kStart < kSecond;
-  scheduleTask(now_ + random_.delay(2 * kMillisecond, (starting ? 6 : 350) * kMillisecond),
+  pendingEvents_.emplace_back(SliceAssignment{kUnknownTable, false});
+  const bool isStarting = now_ - kStart < kSecond;
+  scheduleTask(now_ + random_.delay(2 * kMillisecond, (isStarting ? 6 : 350) * kMillisecond),
                &RecordedFleet::triggerDecision);
 }
 
--- a/tests/decision/recorded_fleet.h
+++ b/tests/decision/recorded_fleet.h
@@ -1,5 +1,5 @@
-// A generated fleet that feeds the decision engine and follows its actions. What it feeds depends on its seed
-// and on those actions only, so two engines that decide alike get the same events.
+// A simulated fleet that generates events for the decision engine and applies its actions. The events depend
+// only on the seed and on those actions, so that engines with equal decisions receive equal events.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 namespace peargrade::test {
 
-/// Plays `span` microseconds of the deployment on `seed` and returns the hash over all actions.
+/// Simulates `span` microseconds of the deployment and returns the hash over all actions of its engine.
 std::uint64_t actionHash(const Deployment& deployment, std::uint64_t seed, Micros span);
 
-/// Xorshift; the same on every platform.
+/// Xorshift generator. Equal seeds give equal numbers on every platform.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 1) {}
@@ -40,23 +40,23 @@
   std::uint64_t state_;
 };
 
-/// One server as it runs, whatever the list says of it.
+/// The actual state of one server, which the endpoint list may not reflect.
 struct SimulatedServer {
   Endpoint endpoint;
-  bool running = true;    // answers at all
-  double speed = 1;       // of a usual server
-  double errorShare = 0;  // of attempts, beside those of overload
+  bool running = true;    // answers requests
+  double speed = 1;       // relative to a normal server
+  double errorShare = 0;  // share of failed attempts, in addition to those from overload
   bool ejected = false;   // by the engine
 };
 
-/// One slice: its table as published, and the requests that come for it.
+/// One slice: its published routing table, and the requests that clients send for it.
 struct SimulatedSlice {
   std::map<ServerId, double> routes;
   std::vector<double> rates;            // requests a second, by class
-  std::vector<double> admissionRatios;  // admitted, by class
+  std::vector<double> admissionRatios;  // by class
 };
 
-/// Follows the engine's actions and reports late what came of them.
+/// Applies the engine's actions and reports their effects with a delay.
 class RecordedFleet {
  public:
   RecordedFleet(const Deployment& deployment, std::uint64_t seed);
@@ -68,8 +68,8 @@
 
   using Task = void (RecordedFleet::*)();
 
-  // What waits for its time: events for the engine, and changes of the fleet.
-  struct Pending {
+  /// Work that is due at some time: events for the engine, and a change of the fleet.
+  struct ScheduledWork {
     std::vector<Event> events;
     Task task = nullptr;
   };
@@ -104,12 +104,12 @@
   ServerId addServer(int zone, Micros startedAt);
   EndpointListUpdate fullListUpdate() const;
   void announce(const ServerId& id);
-  ServerId anyListed();
+  ServerId randomListedServer();
 
-  // ---- The start ----
+  // ---- Start ----
 
-  void begin();
-  void drawRates(SimulatedSlice& slice, TableId table);
+  void start();
+  void randomizeRates(SimulatedSlice& slice, TableId table);
   void assign(TableId table, std::vector<Event>& events);
   void connect(ProxyId proxy, std::vector<Event>& events);
   void triggerDecision();
@@ -117,33 +117,33 @@
   // ---- Incidents ----
 
   void scheduleIncidents(Micros end);
-  void replaceOne(Micros drainFor);
-  void addSilentServers();
+  void drainAndReplaceServer(Micros drainFor);
+  void addUnresponsiveServers();
   void finishDrains();
   void restart(const ServerId& id);
-  void replaceOneSoon();
-  void replaceMany();
+  void replaceServer();
+  void replaceManyServers();
   void crashServer();
   void recover();
   void degradeServer(double speed, double errors);
   void slowServer();
   void failServer();
-  void failServerMostly();
+  void raiseServerErrors();
   void beginBurst();
   void endBurst();
   void changeSliceLoad();
-  void disconnectMost();
-  void reconnect();
-  void announceProxiesAgain();
+  void disconnectMostProxies();
+  void reconnectProxies();
+  void reannounceProxies();
   void releaseSlices();
   void reassignSlices();
-  void slowPath();
+  void degradePath();
   void cutPath();
   void restorePaths();
-  void loseZone();
-  void corruptDeliveries();
-  void endCorruption();
-  void sendWrongList();
+  void failZone();
+  void beginLossyDelivery();
+  void endLossyDelivery();
+  void sendTruncatedList();
   void sendFullList();
   void sendFailedList();
   void changeSettings();
@@ -154,26 +154,26 @@
   DecisionEngine engine_;
   Hash hash_;
   Micros now_ = 0;
-  std::map<Micros, Pending> queue_;
-  std::vector<Event> outbox_;
+  std::map<Micros, ScheduledWork> queue_;
+  std::vector<Event> pendingEvents_;
   std::map<ServerId, SimulatedServer> servers_;
   std::set<ServerId> listed_;
   std::map<TableId, SimulatedSlice> slices_;
   std::set<TableId> assigned_;
   std::map<ProxyId, int> proxies_;
-  std::set<ProxyId> absent_;
+  std::set<ProxyId> disconnectedProxies_;
   std::set<std::pair<Micros, ServerId>> drains_;
   std::set<std::pair<Micros, ServerId>> recoveries_;
   std::vector<double> fleetRatios_;
   double demandFactor_ = 1;
-  int slowZone_ = -1;
+  int degradedZone_ = -1;
   double pathDelay_ = 0;  // seconds
-  double pathLoss_ = 0;   // share of the attempts
+  double pathLoss_ = 0;   // share of failed attempts
   int cutZone_ = -1;
   bool isLossy_ = false;
   bool isChannelSlow_ = false;
   int nextServer_ = 0;
-  mutable std::int64_t version_ = 0;
+  mutable std::int64_t listVersion_ = 0;
 };
 
 }  // namespace peargrade::test
--- a/tests/decision/recorded_fleet_incidents.cpp
+++ b/tests/decision/recorded_fleet_incidents.cpp
@@ -1,4 +1,5 @@
-// What happens to a RecordedFleet: releases, crashes, bursts, lost paths and messages, changed settings.
+// The incidents of a RecordedFleet: replaced servers, crashes, load bursts, bad paths, lost messages, changed
+// settings.
 #include <algorithm>
 #include <iterator>
 
@@ -9,29 +10,29 @@
 
 void RecordedFleet::scheduleIncidents(Micros end) {
   scheduleTask(kStart + settings_.reportInterval, &RecordedFleet::report);
-  const std::vector<Task> incidents{&RecordedFleet::replaceOneSoon,
-                                    &RecordedFleet::replaceOneSoon,
-                                    &RecordedFleet::replaceMany,
+  const std::vector<Task> incidents{&RecordedFleet::replaceServer,
+                                    &RecordedFleet::replaceServer,
+                                    &RecordedFleet::replaceManyServers,
                                     &RecordedFleet::crashServer,
                                     &RecordedFleet::slowServer,
                                     &RecordedFleet::failServer,
-                                    &RecordedFleet::failServerMostly,
-                                    &RecordedFleet::addSilentServers,
-                                    &RecordedFleet::slowPath,
+                                    &RecordedFleet::raiseServerErrors,
+                                    &RecordedFleet::addUnresponsiveServers,
+                                    &RecordedFleet::degradePath,
                                     &RecordedFleet::beginBurst,
                                     &RecordedFleet::beginBurst,
-                                    &RecordedFleet::disconnectMost,
-                                    &RecordedFleet::announceProxiesAgain,
+                                    &RecordedFleet::disconnectMostProxies,
+                                    &RecordedFleet::reannounceProxies,
                                     &RecordedFleet::releaseSlices,
-                                    &RecordedFleet::slowPath,
+                                    &RecordedFleet::degradePath,
                                     &RecordedFleet::cutPath,
-                                    &RecordedFleet::corruptDeliveries,
-                                    &RecordedFleet::sendWrongList,
+                                    &RecordedFleet::beginLossyDelivery,
+                                    &RecordedFleet::sendTruncatedList,
                                     &RecordedFleet::sendFullList,
                                     &RecordedFleet::changeSettings,
                                     &RecordedFleet::changeSliceLoad,
                                     &RecordedFleet::sendFailedList,
-                                    &RecordedFleet::loseZone};
+                                    &RecordedFleet::failZone};
   std::size_t next = static_cast<std::size_t>(random_.below(static_cast<int>(incidents.size())));
   for (Micros at = kStart + 15 * kSecond; at < end; at += random_.delay(5 * kSecond, 28 * kSecond)) {
     scheduleTask(at, incidents[next]);
@@ -39,9 +40,9 @@
   }
 }
 
-void RecordedFleet::replaceOne(Micros drainFor) {
+void RecordedFleet::drainAndReplaceServer(Micros drainFor) {
   if (listed_.size() < 6) return;
-  const ServerId id = anyListed();
+  const ServerId id = randomListedServer();
   if (servers_[id].endpoint.state != EndpointState::Ready) return;
   servers_[id].endpoint.state = EndpointState::Draining;
   announce(id);
@@ -49,8 +50,8 @@
   scheduleTask(now_ + drainFor, &RecordedFleet::finishDrains);
 }
 
-// New servers are listed that answer nothing for a while, as others leave.
-void RecordedFleet::addSilentServers() {
+// New servers are listed that do not answer at first, while two others drain.
+void RecordedFleet::addUnresponsiveServers() {
   for (int k = 0; k < 6; ++k) {
     const ServerId id = addServer(k % deployment_.zones, now_);
     servers_[id].running = false;
@@ -58,8 +59,8 @@
     recoveries_.insert({now_ + random_.delay(4 * kSecond, 20 * kSecond), id});
   }
   scheduleTask(recoveries_.rbegin()->first, &RecordedFleet::recover);
-  replaceOne(kSecond);
-  replaceOne(2 * kSecond);
+  drainAndReplaceServer(kSecond);
+  drainAndReplaceServer(2 * kSecond);
 }
 
 void RecordedFleet::finishDrains() {
@@ -89,14 +90,15 @@
   announce(id);
 }
 
-void RecordedFleet::replaceOneSoon() { replaceOne(random_.delay(1 * kSecond, 4 * kSecond)); }
+void RecordedFleet::replaceServer() { drainAndReplaceServer(random_.delay(1 * kSecond, 4 * kSecond)); }
 
-void RecordedFleet::replaceMany() {
-  for (int k = 0; k < deployment_.servers / 3; ++k) replaceOne(random_.delay(1 * kSecond, 9 * kSecond));
+void RecordedFleet::replaceManyServers() {
+  for (int k = 0; k < deployment_.servers / 3; ++k)
+    drainAndReplaceServer(random_.delay(1 * kSecond, 9 * kSecond));
 }
 
 void RecordedFleet::crashServer() {
-  const ServerId id = anyListed();
+  const ServerId id = randomListedServer();
   if (servers_[id].endpoint.state != EndpointState::Ready) return;
   servers_[id].running = false;
   recoveries_.insert({now_ + random_.delay(3 * kSecond, 25 * kSecond), id});
@@ -115,7 +117,7 @@
 }
 
 void RecordedFleet::degradeServer(double speed, double errors) {
-  const ServerId id = anyListed();
+  const ServerId id = randomListedServer();
   servers_[id].speed = speed;
   servers_[id].errorShare = errors;
   recoveries_.insert({now_ + random_.delay(10 * kSecond, 60 * kSecond), id});
@@ -126,7 +128,7 @@
 
 void RecordedFleet::failServer() { degradeServer(1, random_.between(0.35, 1)); }
 
-void RecordedFleet::failServerMostly() { degradeServer(1, random_.between(0.7, 0.9)); }
+void RecordedFleet::raiseServerErrors() { degradeServer(1, random_.between(0.7, 0.9)); }
 
 void RecordedFleet::beginBurst() {
   demandFactor_ = random_.between(1.5, 3.2);
@@ -143,43 +145,43 @@
   for (double& rate : it->second.rates) rate = std::clamp(rate, 0.0, 60.0);
 }
 
-void RecordedFleet::disconnectMost() {
+void RecordedFleet::disconnectMostProxies() {
   for (const auto& [proxy, zone] : std::map<ProxyId, int>(proxies_)) {
     if (!random_.chance(0.7)) continue;
     proxies_.erase(proxy);
     schedule(now_ + random_.delay(0, 300 * kMillisecond), ProxyDisconnected{proxy});
-    absent_.insert(proxy);
+    disconnectedProxies_.insert(proxy);
   }
-  scheduleTask(now_ + random_.delay(400 * kMillisecond, 4 * kSecond), &RecordedFleet::reconnect);
+  scheduleTask(now_ + random_.delay(400 * kMillisecond, 4 * kSecond), &RecordedFleet::reconnectProxies);
 }
 
-void RecordedFleet::reconnect() {
-  for (const ProxyId proxy : std::exchange(absent_, {})) connect(proxy, outbox_);
+void RecordedFleet::reconnectProxies() {
+  for (const ProxyId proxy : std::exchange(disconnectedProxies_, {})) connect(proxy, pendingEvents_);
 }
 
-void RecordedFleet::announceProxiesAgain() {
+void RecordedFleet::reannounceProxies() {
   for (const auto& [proxy, zone] : std::map<ProxyId, int>(proxies_)) {
-    if (random_.chance(0.5)) connect(proxy, outbox_);
+    if (random_.chance(0.5)) connect(proxy, pendingEvents_);
   }
 }
 
-// Some slices go to another supervisor and come back with the routes that the store has.
+// Some slices are assigned to another supervisor, and later again to this one, with the stored routes.
 void RecordedFleet::releaseSlices() {
   for (int k = 0; k < 4 && deployment_.ownedSlices > 0; ++k) {
     const TableId table = random_.below(deployment_.ownedSlices);
-    if (assigned_.erase(table) > 0) outbox_.emplace_back(SliceAssignment{table, false});
+    if (assigned_.erase(table) > 0) pendingEvents_.emplace_back(SliceAssignment{table, false});
   }
   scheduleTask(now_ + random_.delay(1 * kSecond, 15 * kSecond), &RecordedFleet::reassignSlices);
 }
 
 void RecordedFleet::reassignSlices() {
   for (TableId table = 0; table < deployment_.ownedSlices; ++table) {
-    if (assigned_.count(table) == 0) assign(table, outbox_);
+    if (assigned_.count(table) == 0) assign(table, pendingEvents_);
   }
 }
 
-void RecordedFleet::slowPath() {
-  slowZone_ = random_.below(deployment_.zones);
+void RecordedFleet::degradePath() {
+  degradedZone_ = random_.below(deployment_.zones);
   pathDelay_ = random_.between(0.05, 0.7);
   pathLoss_ = random_.chance(0.5) ? random_.between(0.02, 0.2) : 0;
   scheduleTask(now_ + random_.delay(8 * kSecond, 20 * kSecond), &RecordedFleet::restorePaths);
@@ -190,9 +192,9 @@
   scheduleTask(now_ + random_.delay(4 * kSecond, 10 * kSecond), &RecordedFleet::restorePaths);
 }
 
-void RecordedFleet::restorePaths() { slowZone_ = cutZone_ = -1; }
+void RecordedFleet::restorePaths() { degradedZone_ = cutZone_ = -1; }
 
-void RecordedFleet::loseZone() {
+void RecordedFleet::failZone() {
   const int zone = random_.below(deployment_.zones);
   for (const ServerId& id : std::set<ServerId>(listed_)) {
     if (servers_[id].endpoint.zone != zone || !servers_[id].running) continue;
@@ -202,29 +204,29 @@
   scheduleTask(now_ + 5 * kSecond, &RecordedFleet::recover);
 }
 
-void RecordedFleet::corruptDeliveries() {
+void RecordedFleet::beginLossyDelivery() {
   isLossy_ = true;
   isChannelSlow_ = random_.chance(0.5);
-  scheduleTask(now_ + random_.delay(5 * kSecond, 25 * kSecond), &RecordedFleet::endCorruption);
+  scheduleTask(now_ + random_.delay(5 * kSecond, 25 * kSecond), &RecordedFleet::endLossyDelivery);
 }
 
-void RecordedFleet::endCorruption() { isLossy_ = isChannelSlow_ = false; }
+void RecordedFleet::endLossyDelivery() { isLossy_ = isChannelSlow_ = false; }
 
-// The list drops servers that run, and takes them in again later.
-void RecordedFleet::sendWrongList() {
+// Sends a full list that lacks a quarter of the servers, and later the complete one.
+void RecordedFleet::sendTruncatedList() {
   EndpointListUpdate update = fullListUpdate();
   update.endpoints.resize(update.endpoints.size() - update.endpoints.size() / 4);
-  outbox_.emplace_back(std::move(update));
+  pendingEvents_.emplace_back(std::move(update));
   scheduleTask(now_ + random_.delay(1 * kSecond, 8 * kSecond), &RecordedFleet::sendFullList);
 }
 
-void RecordedFleet::sendFullList() { outbox_.emplace_back(fullListUpdate()); }
+void RecordedFleet::sendFullList() { pendingEvents_.emplace_back(fullListUpdate()); }
 
 void RecordedFleet::sendFailedList() {
-  outbox_.emplace_back(EndpointListUpdate{EndpointListKind::Failed, 0, {}});
+  pendingEvents_.emplace_back(EndpointListUpdate{EndpointListKind::Failed, 0, {}});
 }
 
-// Changed settings, once with another number of classes, which the module leaves out.
+// Sends changed settings, sometimes with another number of classes, which the engine must ignore.
 void RecordedFleet::changeSettings() {
   Settings changed = settings_;
   if (random_.chance(0.3)) {
@@ -235,7 +237,7 @@
     changed.routesPerSecond = settings_.routesPerSecond * random_.between(0.8, 1.3);
     settings_ = changed;
   }
-  outbox_.emplace_back(SettingsChanged{changed});
+  pendingEvents_.emplace_back(SettingsChanged{changed});
 }
 
 }  // namespace peargrade::test
--- a/tests/decision/recorded_fleet_load.cpp
+++ b/tests/decision/recorded_fleet_load.cpp
@@ -19,8 +19,10 @@
   else
     for (auto& [id, rates] : offered) reportServer(id, rates);
   if (random_.chance(0.05))
-    outbox_.emplace_back(ServerLoadReport{0, "unknown", 50, 10, 90 * kMillisecond, settings_.reportInterval});
-  if (random_.chance(0.05)) outbox_.emplace_back(SliceLoadReport{0, 99, 50, 10, settings_.reportInterval});
+    pendingEvents_.emplace_back(
+        ServerLoadReport{0, "unknown", 50, 10, 90 * kMillisecond, settings_.reportInterval});
+  if (random_.chance(0.05))
+    pendingEvents_.emplace_back(SliceLoadReport{0, 99, 50, 10, settings_.reportInterval});
   scheduleTask(now_ + settings_.reportInterval, &RecordedFleet::report);
 }
 
@@ -32,7 +34,7 @@
     const double rate = slice.rates[c] * demandFactor_ * random_.between(0.9, 1.1);
     const auto requests = count(rate);
     if (requests > 0)
-      outbox_.emplace_back(
+      pendingEvents_.emplace_back(
           SliceLoadReport{table, static_cast<int>(c), requests, 0, settings_.reportInterval});
     for (const auto& [server, weight] : slice.routes) {
       if (servers_[server].ejected || weights <= 0) continue;
@@ -45,7 +47,8 @@
 
 void RecordedFleet::reportProxies(std::map<ServerId, std::vector<double>>& offered) {
   for (const auto& [proxy, zone] : proxies_) {
-    outbox_.emplace_back(ProxyLoadReport{proxy, 0, count(20 * demandFactor_), 0, settings_.reportInterval});
+    pendingEvents_.emplace_back(
+        ProxyLoadReport{proxy, 0, count(20 * demandFactor_), 0, settings_.reportInterval});
   }
   for (auto& [id, server] : servers_) {
     if (server.ejected) continue;
@@ -53,7 +56,7 @@
   }
 }
 
-// Latency grows with the load of a server, errors come beyond its capacity.
+// Latency grows with the load of a server. Errors occur when the load exceeds its capacity.
 void RecordedFleet::reportServer(const ServerId& id, const std::vector<double>& rates) {
   const SimulatedServer& server = servers_[id];
   double work = 0;
@@ -68,22 +71,24 @@
   for (int zone = 0; zone < deployment_.zones; ++zone) {
     const bool remote = server.endpoint.zone != zone;
     const bool cut = cutZone_ == zone && remote;
-    const double pathLoss = slowZone_ == zone && remote ? pathLoss_ : 0.0;
+    const double pathLoss = degradedZone_ == zone && remote ? pathLoss_ : 0.0;
     const double overload = utilization > 1.2 ? 1 - 1.2 / utilization : 0;
     const double errors = !server.running || cut ? 1 : std::min(1.0, server.errorShare + overload + pathLoss);
     const std::int64_t attempts = count(requests / deployment_.zones);
     if (attempts == 0) continue;
     const auto failed = static_cast<std::int64_t>(std::llround(errors * static_cast<double>(attempts)));
     const double queueing = 0.08 + 0.25 * std::min(4.0, utilization * utilization);
-    const double pathDelay = slowZone_ == zone && remote ? pathDelay_ : 0.0;
+    const double pathDelay = degradedZone_ == zone && remote ? pathDelay_ : 0.0;
     const double seconds = (queueing / server.speed + pathDelay) * random_.between(0.92, 1.08);
     const Micros latency =
         failed < attempts ? static_cast<Micros>(seconds * static_cast<double>(kSecond)) : 0;
-    outbox_.emplace_back(ServerLoadReport{zone, id, attempts, failed, latency, settings_.reportInterval});
+    pendingEvents_.emplace_back(
+        ServerLoadReport{zone, id, attempts, failed, latency, settings_.reportInterval});
   }
 }
 
-// Reports that no model explains: few attempts, latencies and failures that wander over all thresholds.
+// Reports that follow no model: few attempts, and random latencies and failures that cross all thresholds of
+// the engine.
 void RecordedFleet::reportErratically() {
   for (auto& [id, server] : servers_) {
     if (!server.running || listed_.count(id) == 0) continue;
@@ -94,15 +99,16 @@
 }
 
 void RecordedFleet::reportErratically(const SimulatedServer& server, int zone) {
-  const bool remote = zone == slowZone_ && server.endpoint.zone != zone;
+  const bool remote = zone == degradedZone_ && server.endpoint.zone != zone;
   const std::int64_t attempts = random_.chance(0.35) ? random_.below(7) : 0;
   if (attempts == 0) return;
   const double errors = std::min(1.0, server.errorShare + (remote ? pathLoss_ : 0.0));
   const auto failed = static_cast<std::int64_t>(errors * static_cast<double>(attempts) + random_.uniform());
   const double latency = random_.between(0.2, 3) * (0.05 / server.speed + (remote ? pathDelay_ : 0.0));
   const auto mean = static_cast<Micros>(latency * static_cast<double>(kSecond));
-  outbox_.emplace_back(ServerLoadReport{zone, server.endpoint.server, attempts, std::min(failed, attempts),
-                                        failed < attempts ? mean : 0, settings_.reportInterval});
+  pendingEvents_.emplace_back(ServerLoadReport{zone, server.endpoint.server, attempts,
+                                               std::min(failed, attempts), failed < attempts ? mean : 0,
+                                               settings_.reportInterval});
 }
 
 double RecordedFleet::capacityOf(const SimulatedServer& server) const {
--- a/tests/decision/route_usage_test.cpp
+++ b/tests/decision/route_usage_test.cpp
@@ -1,4 +1,4 @@
-// Which records of servers are forgotten.
+// Use of servers by routing tables, and when the state of a server is erased.
 #include "decision/route_usage.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace peargrade::decision {
 namespace {
 
-TEST(RouteUsageTest, DepartedServersAreForgottenOnceNoTableNamesThem) {
+TEST(RouteUsageTest, DepartedServersAreErasedOnceNoTableUsesThem) {
   ServerMap servers;
   for (const char* id : {"departed", "published", "desired", "ejected", "late", "ready"}) {
     servers[id].isListed = std::string(id) == "ready";
--- a/tests/decision/warming_up_servers_test.cpp
+++ b/tests/decision/warming_up_servers_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: servers that have just started get slices again, no faster than their capacity grows.
+// Slow start: servers that have just started receive slices no faster than their capacity grows.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,8 +22,9 @@
   EXPECT_GE(supervisor.countLogLines("recovering"), 2);
 }
 
-// Each of five supervisors sees a fifth of the slices. It must scale its own heat to the fleet's: otherwise
-// the remaining servers look idle, and a successor with one slice looks as if it had five.
+// Each of five supervisors has a fifth of the slices and must extrapolate its own heat to the fleet's.
+// Otherwise it would take the remaining servers for nearly idle, and would overestimate the load of a new
+// server with one slice.
 TEST(SlowStart, SuccessorsOfAMassReplacementAreFilledByOneOfFiveSupervisors) {
   Settings settings = testSettings();
   settings.slices = 120;  // this supervisor has 24
@@ -43,7 +44,7 @@
   EXPECT_LE(slices, 18);
 }
 
-// Slices on three warming servers of six, 24 s after their start, at this latency of theirs.
+// Number of slices on three warming servers of six, 24 s after their start, if they answer with `latency`.
 int slicesOnWarmingServers(Micros latency) {
   const std::vector<ServerId> warming{"s_x", "s_y", "s_z"};
   Settings settings = testSettings();
@@ -59,7 +60,7 @@
   return slices;
 }
 
-// The initial capacity of the settings is a minimum: a server whose latency stays low can take more.
+// The initial capacity of the settings is a lower bound: a server whose latency stays low can carry more.
 TEST(SlowStart, WarmingServerOfLowLatencyIsFilledBeyondTheInitialCapacity) {
   const int atLowLatency = slicesOnWarmingServers(100 * kMillisecond);
   const int atHighLatency = slicesOnWarmingServers(400 * kMillisecond);  // half of the latency objective
@@ -70,7 +71,7 @@
 
 // ---- Several supervisors ----
 
-// Five supervisors with 24 slices each, which see the same twelve servers and decide alone.
+// Five supervisors with 24 slices each, which share twelve servers and decide independently of each other.
 class SlowStartUnderFiveSupervisors : public testing::Test {
  protected:
   static constexpr int kSupervisors = 5;
@@ -122,9 +123,10 @@
   EXPECT_GE(mostSlicesOfAServer(), kEvenShare);
 }
 
-// If each supervisor moved its hottest slice to the same warming server, their sum would be over its limit.
+// If each supervisor migrated its hottest slice to the same warming server, their total heat would exceed its
+// limit.
 TEST_F(SlowStartUnderFiveSupervisors, OneWarmingServerDoesNotGetTheHottestSliceOfEach) {
-  constexpr TableId kHotSlices = 5;  // one of two on each server that drains
+  constexpr TableId kHotSlices = 5;  // one of the two slices on each draining server
   constexpr double kHotRate = 50;
   constexpr double kUsualRate = 10;
   const auto rateOf = [](TableId slice) { return slice < kHotSlices ? kHotRate : kUsualRate; };
@@ -132,7 +134,7 @@
     for (TableId slice = 0; slice < kHotSlices; ++slice) supervisor.requestRates[{slice, 0}] = kHotRate;
   }
   start();
-  double evenRate = 0;  // requests a second of one server of twelve
+  double evenRate = 0;  // mean requests a second per server
   for (SimulatedSupervisor& supervisor : supervisors) {
     for (TableId slice = 0; slice < kSlices; ++slice) evenRate += rateOf(slice) / kServers;
     supervisor.updateEndpoint("s_z", EndpointState::Ready, supervisor.now - 2100 * kMillisecond);
@@ -170,7 +172,7 @@
             3);
 }
 
-// Under overload, other supervisors place a first slice on the same server at the same time.
+// Under overload, other supervisors also place a first slice on the same server at the same time.
 TEST(SlowStart, FirstSliceOfAWarmingServerCountsTwiceUnderOverload) {
   Settings settings = testSettings();
   settings.slices = 72;  // two other supervisors have as many
@@ -183,7 +185,7 @@
   EXPECT_EQ(supervisor.primaryCount("s_z"), 0);
 }
 
-// Slices that a warming server gets when four of six others are removed.
+// Number of slices that a warming server gets when four of six other servers are removed.
 int slicesOfAWarmingServer(Micros latencyOfOthers) {
   Settings settings = testSettings();
   settings.slices = 120;
@@ -199,17 +201,17 @@
 }
 
 TEST(SlowStart, WarmingServerGetsFewerSlicesUnderOverload) {
-  const int usual = slicesOfAWarmingServer(100 * kMillisecond);
+  const int withoutOverload = slicesOfAWarmingServer(100 * kMillisecond);
   const int underOverload = slicesOfAWarmingServer(900 * kMillisecond);
-  EXPECT_LT(underOverload, usual);
+  EXPECT_LT(underOverload, withoutOverload);
   EXPECT_GT(underOverload, 0);
 }
 
 // ---- Restart of the supervisor ----
 
-// After a restart the supervisor knows no load yet, and in overload a warming server cannot take whole
-// slices.
-TEST(SlowStart, RestartedSupervisorDoesNotFillServersAtOnce) {
+// A restarted supervisor has no load estimates yet and must not fill servers before it has. Under overload
+// even a single slice can exceed the capacity of a warming server.
+TEST(SlowStart, RestartedSupervisorDoesNotFillServersImmediately) {
   SimulatedSupervisor supervisor;
   supervisor.startAndRun(16, 8 * kSecond);
   supervisor.updateEndpoint("s_b", EndpointState::Ready, supervisor.now - 500 * kMillisecond);
@@ -224,11 +226,11 @@
   EXPECT_GT(supervisor.primaryCount("s_b"), 0);
 }
 
-// The parameter: whether the cached list already names the new servers.
+// Parameter: whether the cached list already contains the new servers.
 class SlowStartAfterSupervisorRestart : public testing::TestWithParam<bool> {};
 
-// No route names such a server, and it has never answered this supervisor: neither may keep it idle.
-TEST_P(SlowStartAfterSupervisorRestart, ServersStartedMeanwhileAreFilled) {
+// Such a server has no route and has never answered this supervisor. It must be filled nevertheless.
+TEST_P(SlowStartAfterSupervisorRestart, ServersStartedDuringTheDowntimeAreFilled) {
   const bool inCachedList = GetParam();
   SimulatedSupervisor supervisor;
   supervisor.startAndRun(16, 8 * kSecond);
--- a/tests/decision/zone_path_test.cpp
+++ b/tests/decision/zone_path_test.cpp
@@ -1,4 +1,4 @@
-// Paths between zones: what a path adds in latency and failures is not the servers' doing.
+// Latency and failures that a network path between zones adds must not be attributed to the servers.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
