--- a/src/decision/backup_assigner.cpp
+++ b/src/decision/backup_assigner.cpp
@@ -58,7 +58,8 @@
 
 void BackupAssigner::addBackup(const ServerMap& servers, SliceState& slice, UseCounts& useCounts) {
   const int primaryZone = servers.at(slice.primary).endpoint.zone;
-  // Compared in this order: backups for the same primary server, whether it is in the same zone, random.
+  // Candidates are compared by these values in turn: the number of backups for the same primary server,
+  // whether the zone is that of the primary server, a random number.
   std::tuple<int, bool, double> best{std::numeric_limits<int>::max(), true, 0};
   std::size_t bestIndex = candidates_.size();
   for (std::size_t k = 0; k < candidates_.size(); ++k) {
--- a/tests/decision/combined_faults_test.cpp
+++ b/tests/decision/combined_faults_test.cpp
@@ -17,7 +17,7 @@
 struct Fault {
   const char* name;
   /// Injects the fault. `cachedList`: the endpoint list before the first fault.
-  void (*begin)(SimulatedSupervisor&, const EndpointListUpdate& cachedList);
+  void (*inject)(SimulatedSupervisor&, const EndpointListUpdate& cachedList);
 };
 
 void reassignSlices(SimulatedSupervisor& supervisor) {
@@ -118,10 +118,10 @@
   SimulatedSupervisor supervisor(settings, kServers);
   supervisor.startAndRun(kSlices, 8 * kSecond);
   const EndpointListUpdate cachedList = supervisor.endpointList(EndpointListKind::Cached);
-  first.begin(supervisor, cachedList);
+  first.inject(supervisor, cachedList);
   supervisor.updateEndpoint("s_e", EndpointState::Draining);
   supervisor.run(kSecond);
-  second.begin(supervisor, cachedList);
+  second.inject(supervisor, cachedList);
   supervisor.handle({supervisor.endpointList(EndpointListKind::Full)});
   supervisor.run(settings.drainGrace - settings.pushDelayMax);
   expectNoRouteToDrainingServer(supervisor);
@@ -164,7 +164,7 @@
     SimulatedSupervisor supervisor(testSettings(), kServers);
     supervisor.startAndRun(kSlices, 5 * kSecond);
     for (const Fault& fault : kFaults) {
-      fault.begin(supervisor, supervisor.endpointList(EndpointListKind::Cached));
+      fault.inject(supervisor, supervisor.endpointList(EndpointListKind::Cached));
       supervisor.run(kSecond);
     }
     return std::make_pair(supervisor.routes, supervisor.logLines);
--- a/tests/decision/hotspot_migration_test.cpp
+++ b/tests/decision/hotspot_migration_test.cpp
@@ -1,5 +1,5 @@
-// The hotspot rule in a whole engine: a server with high latency and more heat than its fair share loses one
-// slice at a time.
+// The hotspot rule in a complete engine: a server with high latency and more heat than its fair share loses
+// one slice at a time.
 #include <gtest/gtest.h>
 
 #include "support/simulated_supervisor.h"
@@ -9,7 +9,7 @@
 
 constexpr Micros kHighLatency = 350 * kMillisecond;
 
-// All slices of the fleet belong to this supervisor.
+// Settings of a fleet whose slices are all assigned to this supervisor.
 Settings settingsWithSlices(int slices) {
   Settings settings = testSettings();
   settings.slices = slices;
--- a/tests/decision/negative_load_test.cpp
+++ b/tests/decision/negative_load_test.cpp
@@ -1,5 +1,5 @@
 // Random restarts, removals and slice assignments with weighted endpoints. A negative load estimate once made
-// Placement crash the process: the engine must keep deciding whatever load it estimates.
+// Placement crash the process: the engine must handle every load estimate.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/decision/recorded_fleet.cpp
+++ b/tests/decision/recorded_fleet.cpp
@@ -99,8 +99,8 @@
   schedule(now_ + result.duration, result);
 }
 
-void RecordedFleet::answerWatch(bool on) {
-  if (!on) return;
+void RecordedFleet::answerWatch(bool enabled) {
+  if (!enabled) return;
   EndpointListUpdate update = fullListUpdate();
   if (random_.chance(0.4)) update = EndpointListUpdate{EndpointListKind::Failed, 0, {}};
   schedule(now_ + random_.delay(20 * kMillisecond, 400 * kMillisecond), std::move(update));
--- a/tests/decision/recorded_fleet.h
+++ b/tests/decision/recorded_fleet.h
@@ -84,7 +84,7 @@
   void applyRoute(const SetRoute& route);
   void applyAdmission(const SetAdmission& admission);
   void answerHealthCheck(const ServerId& server);
-  void answerWatch(bool on);
+  void answerWatch(bool enabled);
   void deliver(int updateId);
 
   // ---- Load reports ----
--- a/tests/decision/warming_up_servers_test.cpp
+++ b/tests/decision/warming_up_servers_test.cpp
@@ -23,8 +23,8 @@
 }
 
 // Each of five supervisors has a fifth of the slices and must extrapolate its own heat to the fleet's.
-// Otherwise it would take the remaining servers for nearly idle, and would overestimate the load of a new
-// server with one slice.
+// Otherwise the remaining servers would seem nearly idle, and the load of a new server with one slice would
+// be overestimated.
 TEST(SlowStart, SuccessorsOfAMassReplacementAreFilledByOneOfFiveSupervisors) {
   Settings settings = testSettings();
   settings.slices = 120;  // this supervisor has 24
