--- a/src/kdl/kdl.cpp
+++ b/src/kdl/kdl.cpp
@@ -11,36 +11,38 @@
 
 namespace p = tao::pegtl;
 
-// What the actions build up. A rule that can still fail has no action, so that nothing is ever taken back.
+// Parse state that the actions build. A rule that can still fail has no action, so that no action has to be
+// undone.
 struct State {
-  std::vector<Node> open;  // the node in the making and those it stands in
-  std::vector<Node> done;
-  std::string word, type;
+  std::vector<Node> openNodes;      // the node being parsed, preceded by its ancestors
+  std::vector<Node> topLevelNodes;  // complete top-level nodes
+  std::string string;               // the last string or identifier
+  std::string type;                 // the type annotation for the next value or node
   Place wordAt;
   Value value;
   int depth = 0;
 };
 
-// ---- Grammar, in the order and with the names of the published one ----
+// ---- Grammar, in the order of the KDL specification ----
 
 struct newline : p::sor<p::string<'\r', '\n'>, p::one<'\r', '\n', '\f'>, p::utf8::one<0x85, 0x2028, 0x2029>> {
 };
-struct uspace : p::sor<p::utf8::one<' ', '\t', 0xFEFF, 0xA0, 0x1680, 0x202F, 0x205F, 0x3000>,
-                       p::utf8::range<0x2000, 0x200A>> {};
+struct unicode_space : p::sor<p::utf8::one<' ', '\t', 0xFEFF, 0xA0, 0x1680, 0x202F, 0x205F, 0x3000>,
+                              p::utf8::range<0x2000, 0x200A>> {};
 
-// Counts how deep the text nests; without it a file of braces would exhaust the stack.
-struct enter {
-  using rule_t = enter;
+// Limits the nesting depth. Without a limit a file of opening braces would overflow the stack.
+struct enter_nesting {
+  using rule_t = enter_nesting;
   using subs_t = p::empty_list;
   template <p::apply_mode, p::rewind_mode, template <typename...> class, template <typename...> class,
             typename Input>
   static bool match(Input& in, State& state) {
-    if (++state.depth > kDeepest) throw p::parse_error("at most 32 levels of nesting", in);
+    if (++state.depth > kNestingDepthMax) throw p::parse_error("at most 32 levels of nesting", in);
     return true;
   }
 };
-struct leave {
-  using rule_t = leave;
+struct leave_nesting {
+  using rule_t = leave_nesting;
   using subs_t = p::empty_list;
   template <p::apply_mode, p::rewind_mode, template <typename...> class, template <typename...> class,
             typename Input>
@@ -50,44 +52,48 @@
   }
 };
 
-struct block_comment;
-struct block_end : p::string<'*', '/'> {};
-struct block_rest : p::until<block_end, p::sor<block_comment, p::any>> {};
-struct block_comment : p::if_must<p::string<'/', '*'>, enter, block_rest, leave> {};
-struct line_rest : p::star<p::not_at<newline>, p::any> {};
-struct line_comment : p::seq<p::string<'/', '/'>, line_rest, p::sor<newline, p::eof>> {};
-struct ws : p::sor<uspace, block_comment> {};
-struct linespace : p::sor<newline, ws, line_comment> {};
-struct escline_end : p::sor<line_comment, newline> {};
+struct multi_line_comment;
+struct multi_line_comment_end : p::string<'*', '/'> {};
+struct multi_line_comment_rest : p::until<multi_line_comment_end, p::sor<multi_line_comment, p::any>> {};
+struct multi_line_comment
+    : p::if_must<p::string<'/', '*'>, enter_nesting, multi_line_comment_rest, leave_nesting> {};
+struct single_line_comment_text : p::star<p::not_at<newline>, p::any> {};
+struct single_line_comment : p::seq<p::string<'/', '/'>, single_line_comment_text, p::sor<newline, p::eof>> {
+};
+struct ws : p::sor<unicode_space, multi_line_comment> {};
+struct linespace : p::sor<newline, ws, single_line_comment> {};
+struct escline_end : p::sor<single_line_comment, newline> {};
 struct escline : p::if_must<p::one<'\\'>, p::star<ws>, escline_end> {};
 struct node_space : p::plus<p::sor<ws, escline>> {};
 struct slashdash : p::string<'/', '-'> {};
 
-struct id_stop : p::sor<uspace, newline, p::range<0, 0x20>,
-                        p::one<'\\', '/', '(', ')', '{', '}', '<', '>', ';', '[', ']', '=', ',', '"'>> {};
-struct id_char : p::seq<p::not_at<id_stop>, p::utf8::any> {};
-struct word_end : p::not_at<id_char> {};
-struct keyword_true : p::seq<p::string<'t', 'r', 'u', 'e'>, word_end> {};
-struct keyword_false : p::seq<p::string<'f', 'a', 'l', 's', 'e'>, word_end> {};
-struct keyword_null : p::seq<p::string<'n', 'u', 'l', 'l'>, word_end> {};
+struct non_identifier_char
+    : p::sor<unicode_space, newline, p::range<0, 0x20>,
+             p::one<'\\', '/', '(', ')', '{', '}', '<', '>', ';', '[', ']', '=', ',', '"'>> {};
+struct identifier_char : p::seq<p::not_at<non_identifier_char>, p::utf8::any> {};
+struct token_end : p::not_at<identifier_char> {};
+struct keyword_true : p::seq<p::string<'t', 'r', 'u', 'e'>, token_end> {};
+struct keyword_false : p::seq<p::string<'f', 'a', 'l', 's', 'e'>, token_end> {};
+struct keyword_null : p::seq<p::string<'n', 'u', 'l', 'l'>, token_end> {};
 struct keyword : p::sor<keyword_true, keyword_false, keyword_null> {};
-struct bare_word : p::plus<id_char> {};
-struct bare : p::seq<p::not_at<keyword>, p::not_at<p::opt<p::one<'+', '-'>>, p::digit>, bare_word> {};
+struct identifier_chars : p::plus<identifier_char> {};
+struct bare_identifier
+    : p::seq<p::not_at<keyword>, p::not_at<p::opt<p::one<'+', '-'>>, p::digit>, identifier_chars> {};
 
-struct text_mark : p::one<'"'> {};
-struct plain_piece : p::plus<p::seq<p::not_at<p::one<'"', '\\'>>, p::utf8::any>> {};
+struct open_quote : p::one<'"'> {};
+struct string_characters : p::plus<p::seq<p::not_at<p::one<'"', '\\'>>, p::utf8::any>> {};
 struct short_escape : p::one<'n', 'r', 't', '\\', '/', '"', 'b', 'f'> {};
 struct hex_digits : p::rep_min_max<1, 6, p::xdigit> {};
 struct hex_close : p::one<'}'> {};
 struct hex_escape : p::if_must<p::string<'u', '{'>, hex_digits, hex_close> {};
 struct escape_kind : p::sor<short_escape, hex_escape> {};
 struct escape : p::if_must<p::one<'\\'>, escape_kind> {};
-struct text_end : p::one<'"'> {};
-struct text : p::if_must<text_mark, p::star<p::sor<escape, plain_piece>>, text_end> {};
+struct close_quote : p::one<'"'> {};
+struct escaped_string : p::if_must<open_quote, p::star<p::sor<escape, string_characters>>, close_quote> {};
 
-// r"...", r#"..."#: as many # behind as before.
-struct raw_text {
-  using rule_t = raw_text;
+// r"...", r#"..."#: the closing quote is followed by as many # as precede the opening one.
+struct raw_string {
+  using rule_t = raw_string;
   using subs_t = p::empty_list;
   template <p::apply_mode Apply, p::rewind_mode, template <typename...> class, template <typename...> class,
             typename Input>
@@ -98,70 +104,75 @@
     if (rest.empty() || rest[0] != 'r' || at >= rest.size() || rest[at] != '"') return false;
     const std::string close = '"' + std::string(at - 1, '#');
     const std::size_t end = rest.find(close, at + 1);
-    if (end == std::string_view::npos) throw p::parse_error("the end of the raw text, " + close, in);
-    if constexpr (Apply == p::apply_mode::action) state.word = std::string(rest.substr(at + 1, end - at - 1));
+    if (end == std::string_view::npos) throw p::parse_error("the end of the raw string, " + close, in);
+    if constexpr (Apply == p::apply_mode::action)
+      state.string = std::string(rest.substr(at + 1, end - at - 1));
     in.bump(end + close.size());
     return true;
   }
 };
-struct quoted : p::sor<raw_text, text> {};
-struct identifier : p::sor<quoted, bare> {};
+struct string_literal : p::sor<raw_string, escaped_string> {};
+struct identifier : p::sor<string_literal, bare_identifier> {};
 
 struct type_close : p::one<')'> {};
 struct type_name : p::seq<identifier> {};
 struct type : p::if_must<p::one<'('>, type_name, type_close> {};
 
 struct sign : p::opt<p::one<'+', '-'>> {};
-struct decimals : p::seq<p::digit, p::star<p::sor<p::digit, p::one<'_'>>>> {};
+struct decimal_digits : p::seq<p::digit, p::star<p::sor<p::digit, p::one<'_'>>>> {};
 template <char Mark, class Digit>
-struct based : p::if_must<p::string<'0', Mark>, Digit, p::star<p::sor<Digit, p::one<'_'>>>> {};
-struct hex_number : based<'x', p::xdigit> {};
-struct octal_number : based<'o', p::range<'0', '7'>> {};
-struct binary_number : based<'b', p::one<'0', '1'>> {};
-struct fraction : p::if_must<p::one<'.'>, decimals> {};
-struct exponent : p::if_must<p::one<'e', 'E'>, sign, decimals> {};
-struct decimal_number : p::seq<decimals, p::opt<fraction>, p::opt<exponent>> {};
+struct radix_number : p::if_must<p::string<'0', Mark>, Digit, p::star<p::sor<Digit, p::one<'_'>>>> {};
+struct hex_number : radix_number<'x', p::xdigit> {};
+struct octal_number : radix_number<'o', p::range<'0', '7'>> {};
+struct binary_number : radix_number<'b', p::one<'0', '1'>> {};
+struct fraction : p::if_must<p::one<'.'>, decimal_digits> {};
+struct exponent : p::if_must<p::one<'e', 'E'>, sign, decimal_digits> {};
+struct decimal_number : p::seq<decimal_digits, p::opt<fraction>, p::opt<exponent>> {};
 struct number_word : p::seq<sign, p::sor<hex_number, octal_number, binary_number, decimal_number>> {};
-struct number_end : p::seq<word_end> {};
+struct number_end : p::seq<token_end> {};
 struct number : p::if_must<p::at<sign, p::digit>, number_word, number_end> {};
 
-struct text_value : p::seq<quoted> {};
-struct bare_value : p::sor<text_value, number, keyword> {};
-struct typed_value : p::if_must<type, bare_value> {};
-struct value : p::sor<typed_value, bare_value> {};
-struct value_due : p::seq<value> {};
+struct string_value : p::seq<string_literal> {};
+struct untyped_value : p::sor<string_value, number, keyword> {};
+struct typed_value : p::if_must<type, untyped_value> {};
+struct value : p::sor<typed_value, untyped_value> {};
+struct property_value : p::seq<value> {};
 
 struct property_name : p::seq<identifier> {};
-struct property : p::seq<p::at<identifier, p::one<'='>>, property_name, p::one<'='>, p::must<value_due>> {};
+struct property
+    : p::seq<p::at<identifier, p::one<'='>>, property_name, p::one<'='>, p::must<property_value>> {};
 struct argument : p::seq<value> {};
-struct entry : p::sor<property, argument> {};
-struct slashed_entry : p::seq<slashdash, p::opt<node_space>, p::disable<entry>> {};
-struct entries : p::star<node_space, p::sor<slashed_entry, entry>> {};
+struct property_or_argument : p::sor<property, argument> {};
+struct slashed_property_or_argument
+    : p::seq<slashdash, p::opt<node_space>, p::disable<property_or_argument>> {};
+struct properties_and_arguments
+    : p::star<node_space, p::sor<slashed_property_or_argument, property_or_argument>> {};
 
 struct node;
-struct children_close : p::one<'}'> {};
+struct children_end : p::one<'}'> {};
 struct slashed_node : p::seq<slashdash, p::star<ws>, p::disable<node>> {};
 struct nodes : p::star<p::star<linespace>, p::sor<slashed_node, node>> {};
-struct children : p::if_must<p::one<'{'>, enter, nodes, p::star<linespace>, children_close, leave> {};
+struct children
+    : p::if_must<p::one<'{'>, enter_nesting, nodes, p::star<linespace>, children_end, leave_nesting> {};
 struct slashed_children : p::seq<slashdash, p::opt<node_space>, p::disable<children>> {};
 
-struct node_end : p::sor<newline, p::one<';'>, line_comment, p::eof, p::at<p::one<'}'>>> {};
+struct node_terminator : p::sor<newline, p::one<';'>, single_line_comment, p::eof, p::at<p::one<'}'>>> {};
 struct node_name : p::seq<identifier> {};
 struct typed_name : p::if_must<type, node_name> {};
 struct node_begin : p::sor<typed_name, node_name> {};
-struct node
-    : p::if_must<node_begin, entries, p::star<p::seq<p::opt<node_space>, p::sor<slashed_children, children>>>,
-                 p::opt<node_space>, node_end> {};
+struct node : p::if_must<node_begin, properties_and_arguments,
+                         p::star<p::seq<p::opt<node_space>, p::sor<slashed_children, children>>>,
+                         p::opt<node_space>, node_terminator> {};
 
 struct top_node : p::sor<slashed_node, node> {};
-struct item : p::seq<p::star<linespace>, p::sor<p::eof, p::must<top_node>>> {};
+struct document_item : p::seq<p::star<linespace>, p::sor<p::eof, p::must<top_node>>> {};
 
 // ---- Actions ----
 
 template <class Input>
-Place indexOf(const Input& in) {
-  const auto at = in.position();
-  return {at.line, at.column};
+Place positionOf(const Input& in) {
+  const auto position = in.position();
+  return {position.line, position.column};
 }
 
 void appendUtf8(std::string& text, unsigned long code) {
@@ -185,118 +196,120 @@
 template <class Rule>
 struct action : p::nothing<Rule> {};
 template <>
-struct action<bare_word> {
+struct action<identifier_chars> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
-    s.word = in.string();
+  static void apply(const Input& in, State& state) {
+    state.string = in.string();
   }
 };
 template <>
-struct action<text_mark> {
-  static void apply0(State& s) { s.word.clear(); }
+struct action<open_quote> {
+  static void apply0(State& state) { state.string.clear(); }
 };
 template <>
-struct action<plain_piece> {
+struct action<string_characters> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
-    s.word.append(in.begin(), in.end());
+  static void apply(const Input& in, State& state) {
+    state.string.append(in.begin(), in.end());
   }
 };
 template <>
 struct action<short_escape> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
-    const std::string_view from = "nrtbf", to = "\n\r\t\b\f";
+  static void apply(const Input& in, State& state) {
+    const std::string_view from = "nrtbf";
+    const std::string_view to = "\n\r\t\b\f";
     const std::size_t at = from.find(*in.begin());
-    s.word += at == std::string_view::npos ? *in.begin() : to[at];
+    state.string += at == std::string_view::npos ? *in.begin() : to[at];
   }
 };
 template <>
 struct action<hex_digits> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
+  static void apply(const Input& in, State& state) {
     const unsigned long code = std::strtoul(in.string().c_str(), nullptr, 16);
     if (code > 0x10FFFF || (code >= 0xD800 && code < 0xE000))
       throw p::parse_error("a Unicode scalar value", in.position());
-    appendUtf8(s.word, code);
+    appendUtf8(state.string, code);
   }
 };
 template <>
 struct action<type_name> {
-  static void apply0(State& s) { s.type = s.word; }
+  static void apply0(State& state) { state.type = state.string; }
 };
 template <>
 struct action<node_name> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
+  static void apply(const Input& in, State& state) {
     Node node;
-    node.name = s.word;
-    node.type = std::exchange(s.type, "");
-    node.place = indexOf(in);
-    s.open.push_back(std::move(node));
+    node.name = state.string;
+    node.type = std::exchange(state.type, "");
+    node.place = positionOf(in);
+    state.openNodes.push_back(std::move(node));
   }
 };
 template <>
 struct action<property_name> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
-    s.open.back().properties.push_back({s.word, {}, indexOf(in)});
+  static void apply(const Input& in, State& state) {
+    state.openNodes.back().properties.push_back({state.string, {}, positionOf(in)});
   }
 };
 
-void give(State& s, Value value) {
-  value.type = std::exchange(s.type, "");
-  s.value = std::move(value);
+// Completes a value with its type annotation.
+void setValue(State& state, Value value) {
+  value.type = std::exchange(state.type, "");
+  state.value = std::move(value);
 }
 template <>
-struct action<text_value> {
+struct action<string_value> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
+  static void apply(const Input& in, State& state) {
     Value v;
     v.kind = Value::Kind::Text;
-    v.text = s.word;
-    v.place = indexOf(in);
-    give(s, std::move(v));
+    v.text = state.string;
+    v.place = positionOf(in);
+    setValue(state, std::move(v));
   }
 };
 template <>
 struct action<number_word> {
   template <class Input>
-  static void apply(const Input& in, State& s) {
+  static void apply(const Input& in, State& state) {
     Value v;
     v.text = in.string();
-    v.place = indexOf(in);
+    v.place = positionOf(in);
     std::string digits = v.text;
     digits.erase(std::remove(digits.begin(), digits.end(), '_'), digits.end());
     const bool negative = digits[0] == '-';
     if (negative || digits[0] == '+') digits.erase(0, 1);
     const char mark = digits.size() > 1 && digits[0] == '0' ? digits[1] : '0';
     const int base = mark == 'x' ? 16 : mark == 'o' ? 8 : mark == 'b' ? 2 : 10;
-    const bool whole = base != 10 || digits.find_first_of(".eE") == std::string::npos;
+    const bool isInteger = base != 10 || digits.find_first_of(".eE") == std::string::npos;
     errno = 0;
-    if (whole) {
-      const std::string sized = (negative ? "-" : "") + digits.substr(base == 10 ? 0 : 2);
+    if (isInteger) {
+      const std::string signedDigits = (negative ? "-" : "") + digits.substr(base == 10 ? 0 : 2);
       v.kind = Value::Kind::Integer;
-      v.integer = std::strtoll(sized.c_str(), nullptr, base);
+      v.integer = std::strtoll(signedDigits.c_str(), nullptr, base);
       v.number = static_cast<double>(v.integer);
     } else {
       v.kind = Value::Kind::Float;
       v.number = std::strtod(((negative ? "-" : "") + digits).c_str(), nullptr);
     }
     if (errno == ERANGE) throw p::parse_error("a number within the range of 64 bits", in.position());
-    give(s, std::move(v));
+    setValue(state, std::move(v));
   }
 };
-template <Value::Kind Kind, bool Yes>
+template <Value::Kind Kind, bool IsTrue>
 struct keyword_action {
   template <class Input>
-  static void apply(const Input& in, State& s) {
+  static void apply(const Input& in, State& state) {
     Value v;
     v.kind = Kind;
     v.text = in.string();
-    v.yes = Yes;
-    v.place = indexOf(in);
-    give(s, std::move(v));
+    v.boolean = IsTrue;
+    v.place = positionOf(in);
+    setValue(state, std::move(v));
   }
 };
 template <>
@@ -306,28 +319,31 @@
 template <>
 struct action<keyword_null> : keyword_action<Value::Kind::Null, false> {};
 template <>
-struct action<value_due> {
-  static void apply0(State& s) { s.open.back().properties.back().value = std::move(s.value); }
+struct action<property_value> {
+  static void apply0(State& state) {
+    state.openNodes.back().properties.back().value = std::move(state.value);
+  }
 };
 template <>
 struct action<argument> {
-  static void apply0(State& s) { s.open.back().arguments.push_back(std::move(s.value)); }
+  static void apply0(State& state) { state.openNodes.back().arguments.push_back(std::move(state.value)); }
 };
 template <>
 struct action<node> {
-  static void apply0(State& s) {
-    Node node = std::move(s.open.back());
-    s.open.pop_back();
-    (s.open.empty() ? s.done : s.open.back().children).push_back(std::move(node));
+  static void apply0(State& state) {
+    Node node = std::move(state.openNodes.back());
+    state.openNodes.pop_back();
+    (state.openNodes.empty() ? state.topLevelNodes : state.openNodes.back().children)
+        .push_back(std::move(node));
   }
 };
 
-// ---- What was expected where a rule had to match ----
+// ---- Expected input for the error messages, by the rule that did not match ----
 
 template <class Rule>
-constexpr const char* expected = "another text";
+constexpr const char* expected = "valid KDL";
 template <>
-constexpr const char* expected<block_rest> = "the end of the comment, */";
+constexpr const char* expected<multi_line_comment_rest> = "the end of the comment, */";
 template <>
 constexpr const char* expected<escline_end> = "the end of the line after \\";
 template <>
@@ -337,7 +353,7 @@
 template <>
 constexpr const char* expected<escape_kind> = "one of \\n \\r \\t \\\\ \\/ \\\" \\b \\f \\u{...}";
 template <>
-constexpr const char* expected<text_end> = "the end of the text, \"";
+constexpr const char* expected<close_quote> = "the end of the string, \"";
 template <>
 constexpr const char* expected<type_name> = "the name of a type";
 template <>
@@ -346,9 +362,9 @@
 constexpr const char* expected<number_word> = "a number";
 template <>
 constexpr const char* expected<number_end> =
-    "the end of the number (a text, or a number with its unit, stands in quotes)";
+    "the end of the number (a string, or a number with its unit, must be quoted)";
 template <>
-constexpr const char* expected<decimals> = "a digit";
+constexpr const char* expected<decimal_digits> = "a digit";
 template <>
 constexpr const char* expected<p::xdigit> = "a hex digit";
 template <>
@@ -356,16 +372,16 @@
 template <>
 constexpr const char* expected<p::one<'0', '1'>> = "a binary digit";
 template <>
-constexpr const char* expected<bare_value> = "a value";
+constexpr const char* expected<untyped_value> = "a value";
 template <>
-constexpr const char* expected<value_due> = "a value (a text stands in quotes)";
+constexpr const char* expected<property_value> = "a value (a string must be quoted)";
 template <>
-constexpr const char* expected<children_close> = "a node or }";
+constexpr const char* expected<children_end> = "a node or }";
 template <>
 constexpr const char* expected<node_name> = "the name of a node";
 template <>
-constexpr const char* expected<node_end> =
-    "a value, name=value, {, or the end of the node (a text stands in quotes)";
+constexpr const char* expected<node_terminator> =
+    "a value, name=value, {, or the end of the node (a string must be quoted)";
 template <>
 constexpr const char* expected<top_node> = "a node";
 
@@ -377,7 +393,8 @@
   }
 };
 
-std::string foundAt(const std::string& text, std::size_t at) {
+// Describes the text at an offset for an error message: up to 24 bytes of the token there.
+std::string describeFoundAt(const std::string& text, std::size_t at) {
   if (at >= text.size()) return "the end of the file";
   if (text[at] == '\n' || text[at] == '\r') return "the end of the line";
   std::size_t end = at + 1;
@@ -387,8 +404,9 @@
   return "'" + text.substr(at, end - at) + "'";
 }
 
-// The next line from `at` on that begins a node of the top level: not indented, no closing brace.
-std::size_t nextNode(const std::string& text, std::size_t at) {
+// Offset of the next line after `at` that begins a top-level node: one that is not indented and starts with
+// neither a closing brace nor a comment.
+std::size_t findNextTopLevelNode(const std::string& text, std::size_t at) {
   while ((at = text.find('\n', at)) != std::string::npos) {
     ++at;
     if (at < text.size() && std::string_view(" \t\r\n}/").find(text[at]) == std::string::npos) return at;
@@ -400,30 +418,33 @@
 
 Document parse(const std::string& text) {
   Document document;
-  if (text.size() > kLargest) {
+  if (text.size() > kDocumentBytesMax) {
     document.problems.push_back({{}, std::to_string(text.size()) + " bytes", "at most 1 MiB"});
     return document;
   }
   State state;
-  std::size_t begin = 0, line = 1;
+  std::size_t begin = 0;
+  std::size_t line = 1;
   while (begin < text.size()) {
     p::memory_input<> in(text.data() + begin, text.data() + text.size(), "", begin, line, 1);
     try {
-      while (!in.empty()) p::parse<item, action, control>(in, state);
+      while (!in.empty()) p::parse<document_item, action, control>(in, state);
       break;
     } catch (const p::parse_error& e) {
-      const p::position at = e.positions().front();
-      document.problems.push_back({{at.line, at.column}, foundAt(text, at.byte), std::string(e.message())});
-      state.open.clear();
+      const p::position position = e.positions().front();
+      document.problems.push_back(
+          {{position.line, position.column}, describeFoundAt(text, position.byte), std::string(e.message())});
+      state.openNodes.clear();
       state.type.clear();
       state.depth = 0;
-      const std::size_t next = nextNode(text, at.byte);
-      line = at.line + static_cast<std::size_t>(std::count(text.begin() + static_cast<long>(at.byte),
-                                                           text.begin() + static_cast<long>(next), '\n'));
+      const std::size_t next = findNextTopLevelNode(text, position.byte);
+      line =
+          position.line + static_cast<std::size_t>(std::count(text.begin() + static_cast<long>(position.byte),
+                                                              text.begin() + static_cast<long>(next), '\n'));
       begin = next;
     }
   }
-  document.nodes = std::move(state.done);
+  document.nodes = std::move(state.topLevelNodes);
   return document;
 }
 
--- a/src/kdl/kdl.h
+++ b/src/kdl/kdl.h
@@ -1,5 +1,5 @@
-// Reads documents of the KDL Document Language, version 1 (https://kdl.dev/spec-v1/), into nodes that know
-// their place in the file. What they mean is decided elsewhere (src/operator).
+/// Parser of the KDL Document Language, version 1 (https://kdl.dev/spec-v1/). The result is a tree of nodes
+/// with their positions in the text. src/operator validates it against a schema.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,29 @@
 
 namespace peargrade::kdl {
 
+/// A position in the text.
 struct Place {
-  std::size_t line = 1, column = 1;  // both from 1; columns count bytes
+  /// From 1.
+  std::size_t line = 1;
+  /// From 1, in bytes.
+  std::size_t column = 1;
 };
 
+/// An argument of a node or the value of a property.
 struct Value {
   enum class Kind { Text, Integer, Float, Boolean, Null };
+
   Kind kind = Kind::Null;
-  std::string text;  // of Text: the characters; else as written
+  /// Contents of a Text, without quotes and escapes. For other kinds the value as written in the document.
+  std::string text;
+  /// Value of an Integer.
   std::int64_t integer = 0;
-  double number = 0;  // of Integer and Float
-  bool yes = false;
-  std::string type;  // the annotation in parentheses, if any
+  /// Value of an Integer or a Float.
+  double number = 0;
+  /// Value of a Boolean.
+  bool boolean = false;
+  /// The type annotation in parentheses; empty if there is none.
+  std::string type;
   Place place;
 };
 
@@ -30,30 +41,37 @@
 };
 
 struct Node {
-  std::string name, type;
+  std::string name;
+  /// The type annotation in parentheses; empty if there is none.
+  std::string type;
   Place place;
   std::vector<Value> arguments;
-  std::vector<Property> properties;  // in file order; the last of a name holds
+  /// In document order, with repeated names. The language gives a repeated name its last value.
+  std::vector<Property> properties;
   std::vector<Node> children;
 };
 
-// One thing that is wrong with a text, in the words of the error lines of the program.
+/// A syntax error.
 struct Problem {
   Place place;
-  std::string found, expected;
+  /// The text at `place`, or its end.
+  std::string found;
+  std::string expected;
 };
 
 struct Document {
   std::vector<Node> nodes;
-  // What cannot be read, in file order. Reading goes on at the next line that begins a node of the top level,
-  // so that one run names them all.
+  /// Syntax errors, in document order. After an error the parser continues at the next line that begins a
+  /// top-level node, so that all errors are reported together.
   std::vector<Problem> problems;
 };
 
-inline constexpr std::size_t kLargest = std::size_t{1} << 20;  // bytes of a document
-inline constexpr int kDeepest = 32;                            // nested nodes or comments
+/// Size limit of a document, in bytes.
+inline constexpr std::size_t kDocumentBytesMax = std::size_t{1} << 20;
+/// Limit of nested nodes and comments.
+inline constexpr int kNestingDepthMax = 32;
 
-// Never throws for what the text holds.
+/// Parses a document. Syntax errors do not throw: they are in Document::problems.
 Document parse(const std::string& text);
 
 }  // namespace peargrade::kdl
--- a/src/operator/schema.cpp
+++ b/src/operator/schema.cpp
@@ -16,23 +16,23 @@
                                       {"m", 60e6}, {"h", 3600e6}, {"d", 86400e6}};
 const std::vector<Unit> kSizes = {{"B", 1}, {"KiB", 1024}, {"MiB", 1048576}, {"GiB", 1073741824}};
 
-std::string number(double value) {
+std::string formatNumber(double value) {
   std::ostringstream text;
   text << value;
   return text.str();
 }
 
-// In the largest unit that leaves a whole number.
-std::string withUnit(double value, const std::vector<Unit>& units) {
+// Formats `value` in the largest unit that gives a whole number.
+std::string formatWithUnit(double value, const std::vector<Unit>& units) {
   for (auto unit = units.rbegin(); unit != units.rend(); ++unit) {
     if (value >= unit->second && std::fmod(value, unit->second) == 0)
-      return number(value / unit->second) + unit->first;
+      return formatNumber(value / unit->second) + unit->first;
   }
-  return number(value) + units.front().first;
+  return formatNumber(value) + units.front().first;
 }
 
-// "1.5s" in the base unit; false where the number or the unit is not one.
-bool readUnit(const std::string& text, const std::vector<Unit>& units, double& value) {
+// Parses a number with its unit, such as "1.5s", into the base unit. False if either is invalid.
+bool parseWithUnit(const std::string& text, const std::vector<Unit>& units, double& value) {
   const std::size_t end = text.find_first_not_of("0123456789.");
   if (end == 0 || end == std::string::npos || std::count(text.begin(), text.end(), '.') > 1) return false;
   const auto unit =
@@ -42,82 +42,82 @@
   return true;
 }
 
-std::string rangeOf(const Field& f, const std::string& least, const std::string& most) {
-  if (f.most == 0) return "";
-  return least == most ? ", " + least : " from " + least + " to " + most;
+std::string formatRange(const Field& f, const std::string& min, const std::string& max) {
+  if (f.max == 0) return "";
+  return min == max ? ", " + min : " from " + min + " to " + max;
 }
 
-std::string shown(const kdl::Value& value) {
+std::string formatValue(const kdl::Value& value) {
   return value.kind == kdl::Value::Kind::Text ? "\"" + value.text + "\"" : value.text;
 }
 
 class Checker {
  public:
-  explicit Checker(std::vector<Complaint>& complaints) : complaints_(complaints) {}
+  explicit Checker(std::vector<Complaint>& errors) : errors_(errors) {}
 
-  Section block(const Block& spec, const kdl::Node& node, const std::string& where) {
+  Section checkBlock(const Block& spec, const kdl::Node& node, const std::string& where) {
     Section section;
     section.given = true;
     section.place = node.place;
-    arguments(spec, node, where, section);
-    properties(spec, node, where, section);
-    for (const kdl::Node& child : node.children) this->child(spec, child, where, section);
-    finish(spec, node.place, where, section);
+    checkArguments(spec, node, where, section);
+    checkProperties(spec, node, where, section);
+    for (const kdl::Node& child : node.children) checkChild(spec, child, where, section);
+    addMissingFields(spec, node.place, where, section);
     return section;
   }
 
-  // What stands where the file has no such block.
-  Section standard(const Block& spec) {
+  // The section for a block that the file omits.
+  Section defaultSection(const Block& spec) {
     Section section;
     for (const Field& f : spec.fields) {
-      std::vector<Read>& reads = section.fields[f.name];
-      if (!f.standard.empty()) reads.push_back(standardOf(f));
+      std::vector<FieldValue>& values = section.fields[f.name];
+      if (!f.defaultValue.empty()) values.push_back(defaultValueOf(f));
     }
     for (const Block& b : spec.blocks) {
       std::vector<Section>& sections = section.blocks[b.name];
-      if (!b.many) sections.push_back(standard(b));
+      if (!b.repeatable) sections.push_back(defaultSection(b));
     }
     return section;
   }
 
  private:
-  void complain(kdl::Place place, const std::string& where, const std::string& found,
+  void addError(kdl::Place place, const std::string& where, const std::string& found,
                 const std::string& expected) {
-    complaints_.push_back({place, where, found, expected});
+    errors_.push_back({place, where, found, expected});
   }
-  static std::string under(const std::string& where, const std::string& name) {
+  static std::string joinPath(const std::string& where, const std::string& name) {
     return where.empty() ? name : where + "." + name;
   }
 
-  static Read standardOf(const Field& f) {
+  static FieldValue defaultValueOf(const Field& f) {
     kdl::Value value;
     value.kind = kdl::Value::Kind::Text;
-    value.text = f.standard;
+    value.text = f.defaultValue;
     if (f.kind == Kind::Count || f.kind == Kind::Share) {
       value.kind = f.kind == Kind::Count ? kdl::Value::Kind::Integer : kdl::Value::Kind::Float;
-      value.number = std::strtod(f.standard.c_str(), nullptr);
+      value.number = std::strtod(f.defaultValue.c_str(), nullptr);
     } else if (f.kind == Kind::Flag) {
       value.kind = kdl::Value::Kind::Boolean;
-      value.yes = f.standard == "true";
+      value.boolean = f.defaultValue == "true";
     }
-    Read read;
-    understand(f, value, read);
-    return read;
+    FieldValue parsed;
+    parseValue(f, value, parsed);
+    return parsed;
   }
 
-  static bool understand(const Field& f, const kdl::Value& value, Read& read) {
+  static bool parseValue(const Field& f, const kdl::Value& value, FieldValue& parsed) {
     using K = kdl::Value::Kind;
-    read.text = value.text;
-    read.number = value.number;
-    read.yes = value.yes;
-    read.place = value.place;
-    const auto inRange = [&] { return f.most == 0 || (read.number >= f.least && read.number <= f.most); };
+    parsed.text = value.text;
+    parsed.number = value.number;
+    parsed.yes = value.boolean;
+    parsed.place = value.place;
+    const auto inRange = [&] { return f.max == 0 || (parsed.number >= f.min && parsed.number <= f.max); };
     if (!value.type.empty()) return false;
     switch (f.kind) {
       case Kind::Duration:
-        return value.kind == K::Text && readUnit(value.text, kDurations, read.number) && inRange();
+        return value.kind == K::Text && parseWithUnit(value.text, kDurations, parsed.number) && inRange();
       case Kind::Size:
-        return value.kind == K::Text && readUnit(value.text, kSizes, read.number) && inRange();
+        return value.kind == K::Text && parseWithUnit(value.text, kSizes, parsed.number) && inRange();
       case Kind::Count:
         return value.kind == K::Integer && inRange();
       case Kind::Share:
@@ -135,76 +135,79 @@
     return false;
   }
 
-  void take(const Field& f, const kdl::Value& value, const std::string& where, Section& section) {
-    std::vector<Read>& reads = section.fields[f.name];
-    if (!reads.empty() && !f.many)
-      return complain(value.place, under(where, f.name), "it a second time", "it once at most");
-    Read read;
-    read.given = true;
-    if (!understand(f, value, read)) complain(value.place, under(where, f.name), shown(value), takes(f));
-    reads.push_back(read);
+  void addValue(const Field& f, const kdl::Value& value, const std::string& where, Section& section) {
+    std::vector<FieldValue>& values = section.fields[f.name];
+    if (!values.empty() && !f.repeatable)
+      return addError(value.place, joinPath(where, f.name), "a second occurrence", "at most one");
+    FieldValue parsed;
+    parsed.given = true;
+    if (!parseValue(f, value, parsed))
+      addError(value.place, joinPath(where, f.name), formatValue(value), describeExpectedValue(f));
+    values.push_back(parsed);
   }
 
-  void arguments(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
+  void checkArguments(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
     std::size_t next = 0;
     for (const Field& f : spec.fields) {
       if (f.form == Form::Argument && next < node.arguments.size())
-        take(f, node.arguments[next++], where, section);
+        addValue(f, node.arguments[next++], where, section);
     }
     if (next < node.arguments.size())
-      complain(node.arguments[next].place, where, shown(node.arguments[next]), "no further value here");
+      addError(node.arguments[next].place, where, formatValue(node.arguments[next]), "no further argument");
   }
 
-  void properties(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
+  void checkProperties(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
     for (const kdl::Property& p : node.properties) {
       const auto f = std::find_if(spec.fields.begin(), spec.fields.end(), [&](const Field& field) {
         return field.form == Form::Property && field.name == p.name;
       });
       if (f == spec.fields.end())
-        complain(p.place, where, "'" + p.name + "='", among(spec, Form::Property));
+        addError(p.place, where, "'" + p.name + "='", allowedNames(spec, Form::Property));
       else
-        take(*f, p.value, where, section);
+        addValue(*f, p.value, where, section);
     }
   }
 
-  void child(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
+  void checkChild(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
     const auto f = std::find_if(spec.fields.begin(), spec.fields.end(), [&](const Field& field) {
       return field.form == Form::Node && field.name == node.name;
     });
     if (f != spec.fields.end()) {
       if (node.arguments.size() != 1 || !node.properties.empty() || !node.children.empty())
-        return complain(node.place, under(where, node.name),
+        return addError(node.place, joinPath(where, node.name),
                         std::to_string(node.arguments.size()) + " values" +
                             (node.properties.empty() ? "" : " and properties") +
                             (node.children.empty() ? "" : " and a block"),
-                        "one value: " + takes(*f));
-      return take(*f, node.arguments[0], where, section);
+                        "one value: " + describeExpectedValue(*f));
+      return addValue(*f, node.arguments[0], where, section);
     }
     const auto b = std::find_if(spec.blocks.begin(), spec.blocks.end(),
                                 [&](const Block& inner) { return inner.name == node.name; });
     if (b == spec.blocks.end())
-      return complain(node.place, where.empty() ? "file" : where, "'" + node.name + "'",
-                      among(spec, Form::Node));
+      return addError(node.place, where.empty() ? "file" : where, "'" + node.name + "'",
+                      allowedNames(spec, Form::Node));
     std::vector<Section>& sections = section.blocks[b->name];
-    if (!sections.empty() && !b->many)
-      return complain(node.place, under(where, node.name), "it a second time", "it once at most");
-    sections.push_back(block(*b, node, under(where, node.name)));
+    if (!sections.empty() && !b->repeatable)
+      return addError(node.place, joinPath(where, node.name), "a second occurrence", "at most one");
+    sections.push_back(checkBlock(*b, node, joinPath(where, node.name)));
   }
 
-  void finish(const Block& spec, kdl::Place place, const std::string& where, Section& section) {
+  // Reports required fields that are missing and adds the defaults of the others.
+  void addMissingFields(const Block& spec, kdl::Place place, const std::string& where, Section& section) {
     for (const Field& f : spec.fields) {
-      std::vector<Read>& reads = section.fields[f.name];
-      if (!reads.empty()) continue;
-      if (f.needed) complain(place, under(where, f.name), "nothing", takes(f));
-      if (!f.standard.empty()) reads.push_back(standardOf(f));
+      std::vector<FieldValue>& values = section.fields[f.name];
+      if (!values.empty()) continue;
+      if (f.required) addError(place, joinPath(where, f.name), "nothing", describeExpectedValue(f));
+      if (!f.defaultValue.empty()) values.push_back(defaultValueOf(f));
     }
     for (const Block& b : spec.blocks) {
       std::vector<Section>& sections = section.blocks[b.name];
-      if (sections.empty() && !b.many) sections.push_back(standard(b));
+      if (sections.empty() && !b.repeatable) sections.push_back(defaultSection(b));
     }
   }
 
-  static std::string among(const Block& spec, Form form) {
+  // Lists the names that may occur in the block in this form.
+  static std::string allowedNames(const Block& spec, Form form) {
     std::string names;
     const auto add = [&](const std::string& name) { names += (names.empty() ? "" : ", ") + name; };
     for (const Field& f : spec.fields) {
@@ -213,40 +216,40 @@
     if (form == Form::Node) {
       for (const Block& b : spec.blocks) add(b.name);
     }
-    return names.empty() ? "nothing of this kind here" : "one of: " + names;
+    return names.empty() ? "no such entry here" : "one of: " + names;
   }
 
-  std::vector<Complaint>& complaints_;
+  std::vector<Complaint>& errors_;
 };
 
-void row(std::ostringstream& out, const std::string& where, const Field& f) {
-  out << "  " << where << (where.empty() ? "" : ".") << f.name << "\n      " << takes(f);
-  if (!f.standard.empty()) out << "; standard " << f.standard;
-  if (f.needed) out << "; needed";
-  if (f.many) out << "; may stand several times";
-  if (!f.says.empty()) out << "\n      " << f.says;
+void writeField(std::ostringstream& out, const std::string& where, const Field& f) {
+  out << "  " << where << (where.empty() ? "" : ".") << f.name << "\n      " << describeExpectedValue(f);
+  if (!f.defaultValue.empty()) out << "; default " << f.defaultValue;
+  if (f.required) out << "; required";
+  if (f.repeatable) out << "; may be repeated";
+  if (!f.description.empty()) out << "\n      " << f.description;
   out << '\n';
 }
 
-void rows(std::ostringstream& out, const std::string& where, const Block& spec) {
-  for (const Field& f : spec.fields) row(out, where, f);
-  for (const Block& b : spec.blocks) rows(out, where.empty() ? b.name : where + "." + b.name, b);
+void writeBlock(std::ostringstream& out, const std::string& where, const Block& spec) {
+  for (const Field& f : spec.fields) writeField(out, where, f);
+  for (const Block& b : spec.blocks) writeBlock(out, where.empty() ? b.name : where + "." + b.name, b);
 }
 
 }  // namespace
 
-std::string takes(const Field& f) {
+std::string describeExpectedValue(const Field& f) {
   switch (f.kind) {
     case Kind::Duration:
       return "a duration with its unit (us, ms, s, m, h, d)" +
-             rangeOf(f, withUnit(f.least, kDurations), withUnit(f.most, kDurations));
+             formatRange(f, formatWithUnit(f.min, kDurations), formatWithUnit(f.max, kDurations));
     case Kind::Size:
       return "a size with its unit (B, KiB, MiB, GiB)" +
-             rangeOf(f, withUnit(f.least, kSizes), withUnit(f.most, kSizes));
+             formatRange(f, formatWithUnit(f.min, kSizes), formatWithUnit(f.max, kSizes));
     case Kind::Count:
-      return "a whole number" + rangeOf(f, number(f.least), number(f.most));
+      return "a whole number" + formatRange(f, formatNumber(f.min), formatNumber(f.max));
     case Kind::Share:
-      return "a number" + rangeOf(f, number(f.least), number(f.most));
+      return "a number" + formatRange(f, formatNumber(f.min), formatNumber(f.max));
     case Kind::Flag:
       return "true or false";
     case Kind::Address:
@@ -257,23 +260,22 @@
       return "one of " + words;
     }
     case Kind::Text:
-      return "a text of 1 to 255 characters";
+      return "a string of 1 to 255 characters";
   }
   return "";
 }
 
-Section check(const Block& schema, const kdl::Document& document, std::vector<Complaint>& complaints) {
+Section check(const Block& schema, const kdl::Document& document, std::vector<Complaint>& errors) {
   kdl::Node root;
   root.children = document.nodes;
-  for (const kdl::Problem& p : document.problems)
-    complaints.push_back({p.place, "file", p.found, p.expected});
-  Section section = Checker(complaints).block(schema, root, "");
+  for (const kdl::Problem& p : document.problems) errors.push_back({p.place, "file", p.found, p.expected});
+  Section section = Checker(errors).checkBlock(schema, root, "");
   return section;
 }
 
 std::string tableOf(const Block& schema) {
   std::ostringstream out;
-  rows(out, "", schema);
+  writeBlock(out, "", schema);
   return out.str();
 }
 
--- a/src/operator/schema.h
+++ b/src/operator/schema.h
@@ -1,5 +1,5 @@
-// A declared schema for the operator's file, and the check of a document against it: nodes, arguments,
-// properties, units, ranges, and how often each may stand. It knows no particular setting.
+// Schemas for KDL documents and validation of a document against one: nodes, arguments, properties, units,
+// ranges and repetition. The schema of the operator's file itself is in declaration.cpp.
 #pragma once
 
 #include <map>
@@ -11,91 +11,100 @@
 
 namespace peargrade::op {
 
-// What a field holds, and in which unit it is read.
+/// Type of a field's value, and the unit that it is converted to.
 enum class Kind {
-  Duration,  // "400ms": us, ms, s, m, h, d; read in microseconds
-  Size,      // "64KiB": B, KiB, MiB, GiB; read in bytes
+  Duration,  // "400ms": us, ms, s, m, h, d; converted to microseconds
+  Size,      // "64KiB": B, KiB, MiB, GiB; converted to bytes
   Count,     // a whole number
   Share,     // a number from 0 to 1
   Text,
-  Word,     // one of the words given
+  Word,     // one of Field::words
   Address,  // "127.0.0.1:53"
   Flag,     // true or false
 };
 
-// Where a field stands in its block.
-enum class Form { Node, Argument, Property };  // `name value`, a value of the block, `name=value`
+/// How a field is written in its block.
+enum class Form {
+  Node,      // a child node: `name value`
+  Argument,  // a value after the block's name: `block value`
+  Property,  // `name=value` after the block's name
+};
 
 /// One declared setting.
 struct Field {
   std::string name;
   Kind kind = Kind::Text;
-  /// Range of a number, in the unit that it is read in.
-  double least = 0;
-  double most = 0;
-  /// Default, as the file would have it; empty: none.
-  std::string standard;
+  /// Inclusive range of a number, in the unit that it is converted to. `max` 0: no range.
+  double min = 0;
+  double max = 0;
+  /// Default, as it would be written in the file; empty: none.
+  std::string defaultValue;
   Form form = Form::Node;
-  /// Must be given.
-  bool needed = false;
-  /// May be given several times.
-  bool many = false;
+  /// The file must contain it.
+  bool required = false;
+  /// May occur several times.
+  bool repeatable = false;
+  /// Allowed values of a Word.
   std::vector<std::string> words;
-  /// One line for people.
-  std::string says;
+  /// One line for the table of settings.
+  std::string description;
 };
 
 /// A declared block of settings.
 struct Block {
   std::string name;
-  bool many = false;
+  /// May occur several times.
+  bool repeatable = false;
   std::vector<Field> fields;
   std::vector<Block> blocks;
-  std::string says;
+  std::string description;
 };
 
-/// A field as it was read.
-struct Read {
+/// Value of a field, from the file or its default.
+struct FieldValue {
   std::string text;
   /// Value of a Duration, Size, Count or Share.
   double number = 0;
   /// Value of a Flag.
   bool yes = false;
   kdl::Place place;
-  /// Given by the file; otherwise it is the default.
+  /// Whether the file contains it; otherwise it is the default.
   bool given = false;
 };
 
-/// A block as it was understood; what the file leaves out has its default.
+/// A block after validation. Fields that the file omits have their defaults.
 struct Section {
+  /// Whether the file contains the block.
   bool given = false;
   kdl::Place place;
-  std::map<std::string, std::vector<Read>> fields;
+  std::map<std::string, std::vector<FieldValue>> fields;
   std::map<std::string, std::vector<Section>> blocks;
 
-  const Read& one(const std::string& name) const { return fields.at(name).at(0); }
+  /// First value of a field. The field must have a value in the file or a default.
+  const FieldValue& one(const std::string& name) const { return fields.at(name).at(0); }
   bool has(const std::string& name) const { return fields.count(name) != 0 && !fields.at(name).empty(); }
   Micros micros(const std::string& name) const { return static_cast<Micros>(one(name).number); }
   std::int64_t whole(const std::string& name) const { return static_cast<std::int64_t>(one(name).number); }
   const Section& block(const std::string& name) const { return blocks.at(name).at(0); }
 };
 
-/// One mistake in the file.
+/// One error in the file.
 struct Complaint {
   kdl::Place place;
-  /// Path of the field, for example "sources.dns.timeout".
+  /// Path of the field, for example "sources.dns.tries"; "file" for the document itself.
   std::string where;
   std::string found;
   std::string expected;
 };
 
-/// What a field takes, in words: "a duration with its unit, from 10ms to 10s".
-std::string takes(const Field& field);
+/// Describes the valid values of a field: "a whole number from 1 to 16".
+std::string describeExpectedValue(const Field& field);
 
-/// Checks all of the document.
-Section check(const Block& schema, const kdl::Document& document, std::vector<Complaint>& complaints);
+/// Validates `document` against `schema` and appends every error to `errors`, including syntax errors of the
+/// document. The result is complete only if no error was appended.
+Section check(const Block& schema, const kdl::Document& document, std::vector<Complaint>& errors);
 
-// The schema as a table for people: every setting with what it takes and its standard.
+/// The schema as a table for operators: every setting with its valid values, default and description.
 std::string tableOf(const Block& schema);
 
 }  // namespace peargrade::op
--- a/src/operator/table.cpp
+++ b/src/operator/table.cpp
@@ -1,30 +1,31 @@
-// The operator's file for people, as it was understood.
+// Prints the settings of the operator's file.
 #include <sstream>
 
 #include "operator/operator.h"
 
 namespace peargrade::op {
 
-std::string tableOf(const Operator& o) {
+std::string tableOf(const Operator& settings) {
   std::ostringstream out;
-  out << "sources    roster " << (o.roster ? "on" : "off") << ", " << o.srv.size() << " srv, "
-      << o.zones.size() << " zones\nreload     addresses" << (o.settingsReload ? " and settings" : "")
-      << '\n';
-  for (const Srv& s : o.srv)
-    out << "srv        " << s.label << ": " << s.name << ", " << s.places.size() << " places\n";
-  for (const Zone& z : o.zones)
-    out << "zone       " << z.label << ": " << z.origin << ", " << z.services.size() << " services, file "
-        << (z.file.empty() ? "none" : z.folder + "/" + z.file) << ", updates "
-        << (z.listen && z.primaries.empty() ? z.listen->text() : "off") << ", " << z.primaries.size()
-        << " primaries" << '\n';
-  if (!o.srv.empty()) {
+  out << "sources    roster " << (settings.roster ? "on" : "off") << ", " << settings.srv.size() << " srv, "
+      << settings.zones.size() << " zones\nreload     addresses"
+      << (settings.settingsReload ? " and settings" : "") << '\n';
+  for (const Srv& srv : settings.srv)
+    out << "srv        " << srv.label << ": " << srv.name << ", " << srv.places.size() << " places\n";
+  for (const Zone& zone : settings.zones)
+    out << "zone       " << zone.label << ": " << zone.origin << ", " << zone.services.size()
+        << " services, file " << (zone.file.empty() ? "none" : zone.folder + "/" + zone.file) << ", updates "
+        << (zone.listen && zone.primaries.empty() ? zone.listen->text() : "off") << ", "
+        << zone.primaries.size() << " primaries" << '\n';
+  if (!settings.srv.empty()) {
     out << "dns       ";
-    for (const net::Address& a : o.dns.servers) out << ' ' << a.text();
-    out << ", lifetimes " << o.dns.ttlLeast / 1000 << " to " << o.dns.ttlMost / 1000 << " ms, stale "
-        << o.dns.staleFor / 1000 << " ms\nmerge      stale " << o.merge.staleRetention / 1000
-        << " ms, steps of " << o.merge.removalStepShare << " every " << o.merge.removalStepInterval / 1000
-        << " ms, more than " << o.merge.confirmationShare << " at once waits "
-        << o.merge.confirmationTimeout / 1000 << " ms\n";
+    for (const net::Address& server : settings.dns.servers) out << ' ' << server.text();
+    out << ", lifetimes " << settings.dns.ttlLeast / 1000 << " to " << settings.dns.ttlMost / 1000
+        << " ms, stale " << settings.dns.staleFor / 1000 << " ms\nmerge      stale "
+        << settings.merge.staleRetention / 1000 << " ms, steps of " << settings.merge.removalStepShare
+        << " every " << settings.merge.removalStepInterval / 1000 << " ms, removals of more than "
+        << settings.merge.confirmationShare << " wait " << settings.merge.confirmationTimeout / 1000
+        << " ms for confirmation\n";
   }
   return out.str();
 }
--- a/tests/kdl/kdl_test.cpp
+++ b/tests/kdl/kdl_test.cpp
@@ -1,4 +1,4 @@
-// The KDL reader: what the published language allows, and that every fault names its place.
+// The KDL parser: the syntax of KDL version 1, and errors that name their position.
 #include "kdl/kdl.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,8 @@
 namespace peargrade::kdl {
 namespace {
 
-Node only(const std::string& text) {
+// Parses a valid document with a single node.
+Node parseSingleNode(const std::string& text) {
   const Document d = parse(text);
   EXPECT_TRUE(d.problems.empty()) << text << ": " << d.problems.at(0).expected;
   EXPECT_EQ(d.nodes.size(), 1u) << text;
@@ -16,7 +17,8 @@
 }
 
 TEST(Kdl, ValuesOfEveryKind) {
-  const Node n = only("n \"a\\n\\u{e9}\\\"\" 1_000 -0x1F 0o17 0b101 1.5e3 true null (ms)\"5\" r#\"x\"y\"#");
+  const Node n =
+      parseSingleNode("n \"a\\n\\u{e9}\\\"\" 1_000 -0x1F 0o17 0b101 1.5e3 true null (ms)\"5\" r#\"x\"y\"#");
   ASSERT_EQ(n.arguments.size(), 10u);
   EXPECT_EQ(n.arguments[0].text, "a\n\xC3\xA9\"");
   EXPECT_EQ(n.arguments[1].integer, 1000);
@@ -25,13 +27,13 @@
   EXPECT_EQ(n.arguments[4].integer, 5);
   EXPECT_EQ(n.arguments[5].kind, Value::Kind::Float);
   EXPECT_EQ(n.arguments[5].number, 1500);
-  EXPECT_TRUE(n.arguments[6].yes);
+  EXPECT_TRUE(n.arguments[6].boolean);
   EXPECT_EQ(n.arguments[7].kind, Value::Kind::Null);
   EXPECT_EQ(n.arguments[8].type, "ms");
   EXPECT_EQ(n.arguments[9].text, "x\"y");
 }
 
-TEST(Kdl, NodesPropertiesChildrenAndPlaces) {
+TEST(Kdl, NodesPropertiesChildrenAndPositions) {
   const Document d =
       parse("// first\na \"x\" k=1 \"quoted key\"=2 {\n  b; c /* in /* nested */ */ 7\n}\n(t)e \\\n  3\n");
   ASSERT_TRUE(d.problems.empty()) << d.problems[0].expected;
@@ -49,7 +51,7 @@
   EXPECT_EQ(d.nodes[1].arguments.at(0).integer, 3);
 }
 
-TEST(Kdl, SlashdashTakesOutNodesValuesAndChildren) {
+TEST(Kdl, SlashdashRemovesNodesValuesAndChildren) {
   const Document d = parse("/-gone 1 { x }\na /-1 2 /-k=3 /-{ b }\n");
   ASSERT_TRUE(d.problems.empty()) << d.problems[0].expected;
   ASSERT_EQ(d.nodes.size(), 1u);
@@ -58,21 +60,22 @@
   EXPECT_TRUE(d.nodes[0].children.empty());
 }
 
-TEST(Kdl, EmptyTextsAndLinesAreFine) {
+TEST(Kdl, EmptyDocumentsAndLinesAreValid) {
   for (const char* text : {"", "\n\n", "// only\n", "\xEF\xBB\xBF", "a", "a;b;", "a{}", "a {}\r\n"})
     EXPECT_TRUE(parse(text).problems.empty()) << text;
 }
 
-struct Fault {
+struct SyntaxError {
   const char* name;
   const char* text;
-  std::size_t line, column;
+  std::size_t line;
+  std::size_t column;
   const char* found;
   const char* expected;
 };
-class KdlFault : public testing::TestWithParam<Fault> {};
+class KdlSyntaxError : public testing::TestWithParam<SyntaxError> {};
 
-TEST_P(KdlFault, NamesPlaceAndWhatWasExpected) {
+TEST_P(KdlSyntaxError, HasPositionFoundAndExpected) {
   const Document d = parse(GetParam().text);
   ASSERT_EQ(d.problems.size(), 1u);
   EXPECT_EQ(d.problems[0].place.line, GetParam().line);
@@ -82,23 +85,24 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, KdlFault,
-    testing::Values(Fault{"BareText", "a\nmode fast\n", 2, 6, "'fast'", "a text stands in quotes"},
-                    Fault{"UnitWithoutQuotes", "wait 5s\n", 1, 7, "'s'", "number with its unit"},
-                    Fault{"OpenBrace", "a {\n b\n", 3, 1, "the end of the file", "a node or }"},
-                    Fault{"OpenText", "a \"x\n", 2, 1, "the end of the file", "end of the text"},
-                    Fault{"OpenRawText", "a r#\"x\"\n", 1, 3, "'r#\"x\"'", "raw text"},
-                    Fault{"BadEscape", "a \"\\q\"\n", 1, 5, "'q\"'", "one of \\n"},
-                    Fault{"NoScalar", "a \"\\u{D800}\"\n", 1, 7, "'D800'", "scalar"},
-                    Fault{"OpenComment", "a /* b\n", 2, 1, "the end of the file", "end of the comment"},
-                    Fault{"NoValue", "a k= \n", 1, 5, "' '", "a value"},
-                    Fault{"StrayBrace", "a\n}\n", 2, 1, "'}'", "a node"},
-                    Fault{"NumberAsName", "12 a\n", 1, 1, "'12'", "a node"},
-                    Fault{"TooLargeANumber", "a 99999999999999999999\n", 1, 3, "'99999999999999999999'",
-                          "64 bits"}),
+    All, KdlSyntaxError,
+    testing::Values(
+        SyntaxError{"UnquotedString", "a\nmode fast\n", 2, 6, "'fast'", "a string must be quoted"},
+        SyntaxError{"UnitWithoutQuotes", "wait 5s\n", 1, 7, "'s'", "number with its unit"},
+        SyntaxError{"UnclosedBrace", "a {\n b\n", 3, 1, "the end of the file", "a node or }"},
+        SyntaxError{"UnclosedString", "a \"x\n", 2, 1, "the end of the file", "end of the string"},
+        SyntaxError{"UnclosedRawString", "a r#\"x\"\n", 1, 3, "'r#\"x\"'", "raw string"},
+        SyntaxError{"InvalidEscape", "a \"\\q\"\n", 1, 5, "'q\"'", "one of \\n"},
+        SyntaxError{"SurrogateEscape", "a \"\\u{D800}\"\n", 1, 7, "'D800'", "scalar"},
+        SyntaxError{"UnclosedComment", "a /* b\n", 2, 1, "the end of the file", "end of the comment"},
+        SyntaxError{"MissingValue", "a k= \n", 1, 5, "' '", "a value"},
+        SyntaxError{"StrayBrace", "a\n}\n", 2, 1, "'}'", "a node"},
+        SyntaxError{"NumberAsName", "12 a\n", 1, 1, "'12'", "a node"},
+        SyntaxError{"NumberOutOfRange", "a 99999999999999999999\n", 1, 3, "'99999999999999999999'",
+                    "64 bits"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(Kdl, AllFaultsOfAFileAreToldAndGoodNodesKept) {
+TEST(Kdl, AllErrorsAreReportedAndValidNodesKept) {
   const Document d = parse("good 1\nbad one {\n  x\n}\ngood 2\nbad k=\ngood 3\n");
   ASSERT_EQ(d.problems.size(), 2u);
   EXPECT_EQ(d.problems[0].place.line, 2u);
@@ -108,7 +112,7 @@
   EXPECT_EQ(d.nodes[2].arguments.at(0).integer, 3);
 }
 
-TEST(Kdl, DepthAndSizeAreBounded) {
+TEST(Kdl, NestingDepthAndSizeAreLimited) {
   std::string deep;
   for (int k = 0; k < 100000; ++k) deep += "a {";
   ASSERT_EQ(parse(deep).problems.size(), 1u);
@@ -116,26 +120,27 @@
   std::string comment;
   for (int k = 0; k < 100000; ++k) comment += "/*";
   EXPECT_FALSE(parse(comment).problems.empty());
-  EXPECT_EQ(parse(std::string(kLargest + 1, ' ')).problems.at(0).expected, "at most 1 MiB");
+  EXPECT_EQ(parse(std::string(kDocumentBytesMax + 1, ' ')).problems.at(0).expected, "at most 1 MiB");
 }
 
-// Whatever bytes come: an answer, and a place within the text for every complaint.
-TEST(Kdl, RandomChangesNeverDoMoreThanComplain) {
-  const std::string good = "a \"x\\n\" k=(t)1.5 { b r#\"y\"#; /-c 0x1f }\n/* c */ d true\n";
+// Random changes of a valid document only lead to errors, each with a position, the text found and the text
+// expected.
+TEST(Kdl, RandomChangesLeadToNothingButErrors) {
+  const std::string valid = "a \"x\\n\" k=(t)1.5 { b r#\"y\"#; /-c 0x1f }\n/* c */ d true\n";
   std::mt19937 random(7);
-  int refused = 0;
+  int errors = 0;
   for (int round = 0; round < 20000; ++round) {
-    std::string text = good;
+    std::string text = valid;
     for (unsigned k = 1 + random() % 4; k > 0; --k)
       text[random() % text.size()] = static_cast<char>(random() % 256);
     for (const Problem& problem : parse(text).problems) {
-      ++refused;
+      ++errors;
       EXPECT_GE(problem.place.line, 1u);
       EXPECT_FALSE(problem.found.empty());
       EXPECT_FALSE(problem.expected.empty());
     }
   }
-  EXPECT_GT(refused, 1000);
+  EXPECT_GT(errors, 1000);
 }
 
 }  // namespace
--- a/tests/operator/operator_test.cpp
+++ b/tests/operator/operator_test.cpp
@@ -1,5 +1,5 @@
-// The operator's file: what is understood, and that every mistake names file, line, column, found and
-// expected.
+// Parsing of the operator's file: values, defaults, and errors that name the file, line, column, the value
+// found and the value expected.
 #include "operator/operator.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,8 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-std::string wrong(const std::string& text) {
+// Text of the errors in a file, or "" if it is valid.
+std::string errorsOf(const std::string& text) {
   try {
     parse(text, "op.kdl", &kNames);
   } catch (const ParseError& e) {
@@ -32,7 +33,7 @@
          "\n }\n}\n";
 }
 
-TEST(Operator, TheExampleIsUnderstood) {
+TEST(Operator, ExampleFileIsParsed) {
   const Operator o = parse(example(), "peargrade.kdl", &kNames);
   EXPECT_TRUE(o.roster);
   ASSERT_EQ(o.dns.servers.size(), 2u);
@@ -48,7 +49,7 @@
   EXPECT_EQ(o.merge.removalStepInterval, 5000000);
 }
 
-TEST(Operator, WhatTheFileLeavesOutHasTheStandardOfItsType) {
+TEST(Operator, OmittedFieldsHaveTheDefaultsOfTheirType) {
   const Operator o = parse("version 1", "f", nullptr);
   EXPECT_FALSE(o.sources());
   const dns::Settings d;
@@ -63,91 +64,98 @@
   EXPECT_EQ(o.merge.serversMax, m.serversMax);
 }
 
-struct Mistake {
+struct InvalidFile {
   const char* name;
   std::string text;
-  const char* says;
+  const char* error;
 };
-class OperatorMistake : public testing::TestWithParam<Mistake> {};
-TEST_P(OperatorMistake, IsNamed) { EXPECT_EQ(wrong(GetParam().text), GetParam().says); }
+class OperatorErrors : public testing::TestWithParam<InvalidFile> {};
+TEST_P(OperatorErrors, NamePlaceFoundAndExpected) { EXPECT_EQ(errorsOf(GetParam().text), GetParam().error); }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, OperatorMistake,
+    All, OperatorErrors,
     testing::Values(
-        Mistake{"BareNumberForADuration", withSrv("try 400"),
-                "op.kdl:5:5: sources.dns.try: found 400, expected a duration with its unit (us, ms, s, m, h, "
-                "d) from "
-                "10ms to 10s"},
-        Mistake{"SecondsForMilliseconds", withSrv("try \"400s\""),
-                "op.kdl:5:5: sources.dns.try: found \"400s\", expected a duration with its unit (us, ms, s, "
-                "m, h, d) "
-                "from 10ms to 10s"},
-        Mistake{"UnknownUnit", withSrv("cache-bytes \"8MB\""),
-                "op.kdl:5:13: sources.dns.cache-bytes: found \"8MB\", expected a size with its unit (B, KiB, "
-                "MiB, GiB) "
-                "from 64KiB to 1GiB"},
-        Mistake{"OutOfRange", withSrv("tries 99"),
-                "op.kdl:5:7: sources.dns.tries: found 99, expected a whole number from 1 to 16"},
-        Mistake{"Twice", withSrv("tries 3\ntries 4"),
-                "op.kdl:6:7: sources.dns.tries: found it a second time, expected it once at most"},
-        Mistake{"NoVersion", "sources { }", "op.kdl:1:1: version: found nothing, expected a whole number, 1"},
-        Mistake{"UnknownWord", withSrv("", "weights \"both\""),
-                "op.kdl:9:9: sources.merge.weights: found \"both\", expected one of \"roster\", \"srv\""},
-        Mistake{"UnknownProperty",
-                "version 1\nsources {\n dns { server \"127.0.0.1:53\"; }\n srv \"o\" label=1 { name \"a.b\"; "
-                "place zone=\"east\"; }\n}\n",
-                "op.kdl:4:10: sources.srv: found 'label=', expected nothing of this kind here"},
-        Mistake{"TiersByTurns", withSrv("", "tier-least 0.8"),
-                "op.kdl:8:2: sources.merge.tier-back: found less than tier-least, expected at least "
-                "tier-least, or "
-                "tiers would join and leave by turns"},
-        Mistake{"NoNameServer", "version 1\nsources {\n srv \"o\" { name \"a.b\"; place zone=\"east\"; }\n}",
-                "op.kdl:2:1: sources.dns.server: found none, expected at least one, since there is an srv "
-                "source"},
-        Mistake{"ZoneWithoutAState",
-                "version 1\nsources {\n zone \"z\" {\n origin \"a.org\"; service \"_o._tcp.a.org\"\n listen "
-                "\"127.0.0.1:5300\"\n }\n}",
-                "op.kdl:3:2: sources.zone.listen: found updates without state, keys or a grant, expected all "
-                "three: what "
-                "is accepted is kept, and signed by who may"},
-        Mistake{"ServiceOutOfItsZone",
-                "version 1\nsources {\n zone \"z\" {\n origin \"a.org\"; service \"_o._tcp.b.org\"\n folder "
-                "\"x\"; "
-                "file \"y\"\n }\n}",
-                "op.kdl:4:26: sources.zone.service: found \"_o._tcp.b.org\", expected a name within a.org"},
-        Mistake{"NoSource", "version 1\nsources { roster false; }",
-                "op.kdl:2:18: sources.roster: found false and no other, expected at least one source"}),
+        InvalidFile{
+            "DurationWithoutUnit", withSrv("try 400"),
+            "op.kdl:5:5: sources.dns.try: found 400, expected a duration with its unit (us, ms, s, m, h, "
+            "d) from "
+            "10ms to 10s"},
+        InvalidFile{
+            "DurationOutOfRange", withSrv("try \"400s\""),
+            "op.kdl:5:5: sources.dns.try: found \"400s\", expected a duration with its unit (us, ms, s, "
+            "m, h, d) "
+            "from 10ms to 10s"},
+        InvalidFile{
+            "UnknownUnit", withSrv("cache-bytes \"8MB\""),
+            "op.kdl:5:13: sources.dns.cache-bytes: found \"8MB\", expected a size with its unit (B, KiB, "
+            "MiB, GiB) "
+            "from 64KiB to 1GiB"},
+        InvalidFile{"OutOfRange", withSrv("tries 99"),
+                    "op.kdl:5:7: sources.dns.tries: found 99, expected a whole number from 1 to 16"},
+        InvalidFile{"RepeatedField", withSrv("tries 3\ntries 4"),
+                    "op.kdl:6:7: sources.dns.tries: found a second occurrence, expected at most one"},
+        InvalidFile{"MissingVersion", "sources { }",
+                    "op.kdl:1:1: version: found nothing, expected a whole number, 1"},
+        InvalidFile{"UnknownWord", withSrv("", "weights \"both\""),
+                    "op.kdl:9:9: sources.merge.weights: found \"both\", expected one of \"roster\", \"srv\""},
+        InvalidFile{
+            "UnknownProperty",
+            "version 1\nsources {\n dns { server \"127.0.0.1:53\"; }\n srv \"o\" label=1 { name \"a.b\"; "
+            "place zone=\"east\"; }\n}\n",
+            "op.kdl:4:10: sources.srv: found 'label=', expected no such entry here"},
+        InvalidFile{"TierLeaveShareBelowJoinShare", withSrv("", "tier-least 0.8"),
+                    "op.kdl:8:2: sources.merge.tier-back: found less than tier-least, expected at least "
+                    "tier-least, so that tiers do not alternate between joining and leaving"},
+        InvalidFile{
+            "MissingNameServer", "version 1\nsources {\n srv \"o\" { name \"a.b\"; place zone=\"east\"; }\n}",
+            "op.kdl:2:1: sources.dns.server: found none, expected at least one name server, because there is "
+            "an srv source"},
+        InvalidFile{
+            "UpdatesWithoutState",
+            "version 1\nsources {\n zone \"z\" {\n origin \"a.org\"; service \"_o._tcp.a.org\"\n listen "
+            "\"127.0.0.1:5300\"\n }\n}",
+            "op.kdl:3:2: sources.zone.listen: found listen without state, keys or a grant, expected all "
+            "three, because accepted updates are stored and must be signed by a key with a grant"},
+        InvalidFile{
+            "ServiceOutsideItsZone",
+            "version 1\nsources {\n zone \"z\" {\n origin \"a.org\"; service \"_o._tcp.b.org\"\n folder "
+            "\"x\"; "
+            "file \"y\"\n }\n}",
+            "op.kdl:4:26: sources.zone.service: found \"_o._tcp.b.org\", expected a name within a.org"},
+        InvalidFile{
+            "MissingSource", "version 1\nsources { roster false; }",
+            "op.kdl:2:18: sources.roster: found false, and no other source, expected at least one source"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(Operator, AllMistakesOfAFileAreToldAtOnceInItsOrder) {
-  const std::string says = wrong(
+TEST(Operator, AllErrorsOfAFileAreReportedTogether) {
+  const std::string errors = errorsOf(
       "version 2\nsources {\n  dns {\n    server \"localhost\"\n    ttl 5\n  }\n  srv \"o\" {\n    name "
       "\"a..b\"\n"
       "    place zone=\"north\" net=\"10.1\"\n  }\n  roster \"yes\"\n}\nextra 1\nbad k=\n");
-  std::vector<std::string> at;
-  std::istringstream lines(says);
-  for (std::string line; std::getline(lines, line);) at.push_back(line.substr(0, line.find(": ")));
-  EXPECT_EQ(at.size(), 9u) << says;
+  std::vector<std::string> positions;
+  std::istringstream lines(errors);
+  for (std::string line; std::getline(lines, line);) positions.push_back(line.substr(0, line.find(": ")));
+  EXPECT_EQ(positions.size(), 9u) << errors;
   for (const char* part : {"version", "dns.server", "'ttl'", "srv.name", "place.net", "place.zone", "roster",
                            "'extra'", "a value"})
-    EXPECT_NE(says.find(part), std::string::npos) << part << "\n" << says;
+    EXPECT_NE(errors.find(part), std::string::npos) << part << "\n" << errors;
 }
 
-TEST(Operator, AFileThatCannotBeReadIsAMistakeLikeOthers) {
+TEST(Operator, UnreadableFileIsAParseError) {
   EXPECT_THROW(load("/nonexistent/op.kdl", nullptr), ParseError);
 }
 
-TEST(Operator, SettingsAreTakenOverOnlyWhereTheFileSaysSo) {
+TEST(Operator, SettingsReloadIsOffByDefault) {
   EXPECT_FALSE(parse("version 1", "f", nullptr).settingsReload);
   EXPECT_FALSE(parse("version 1\nconfiguration {\n}\n", "f", nullptr).settingsReload);
   const Operator o = parse("version 1\nconfiguration {\n settings-reload true\n}\n", "f", nullptr);
   EXPECT_TRUE(o.settingsReload);
   EXPECT_FALSE(o.sources());
-  EXPECT_EQ(wrong("version 1\nconfiguration {\n settings-reload \"on\"\n}\n"),
+  EXPECT_EQ(errorsOf("version 1\nconfiguration {\n settings-reload \"on\"\n}\n"),
             "op.kdl:3:18: configuration.settings-reload: found \"on\", expected true or false");
 }
 
-TEST(Operator, EverySettingIsInTheTableForPeople) {
+TEST(Operator, TableListsSettingsOfEveryBlock) {
   const std::string table = tableOf(schema());
   for (const char* name : {"sources.dns.try\n", "sources.srv.place.net\n", "sources.merge.flap-hold\n",
                            "configuration.settings-reload\n"})
