--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -18,9 +18,9 @@
 
 using wire::Fields;
 
-constexpr std::size_t kClassesMax = 32;
+constexpr std::size_t kClassesMax = 32;  // the message of parseNames() repeats it
 constexpr int kHexBase = 16;
-// Separators of the relay's lines, in which names stand.
+// Names are written to lines of the relay protocol and must not contain its separators.
 constexpr char kRelaySeparators[] = " ,;+*\r\n";
 
 [[noreturn]] void fail(const std::string& field, const std::string& message) {
@@ -37,7 +37,8 @@
   std::uint64_t seed = 0;
   const char* const end = hex.data() + hex.size();
   const auto parsed = std::from_chars(hex.data(), end, seed, kHexBase);
-  if (parsed.ec != std::errc() || parsed.ptr != end) fail("seed", "is no number of up to 16 hex digits");
+  if (parsed.ec != std::errc() || parsed.ptr != end)
+    fail("seed", "is not a number of up to 16 hexadecimal digits");
   return seed;
 }
 
@@ -54,11 +55,11 @@
   std::vector<std::string> names;
   std::set<std::string> unique;
   for (const wire::Value& item : list.GetArray()) {
-    if (!item.IsString()) fail(field, "holds something other than names");
+    if (!item.IsString()) fail(field, "has an element that is not a string");
     const std::string name(item.GetString(), item.GetStringLength());
     if (name.empty() || name.find_first_of(kRelaySeparators) != std::string::npos)
-      fail(field, "'" + name + "' cannot stand in a line of the relay");
-    if (!unique.insert(name).second) fail(field, "'" + name + "' is there twice");
+      fail(field, "'" + name + "' is empty or contains a separator of the relay protocol");
+    if (!unique.insert(name).second) fail(field, "'" + name + "' occurs twice");
     names.push_back(name);
   }
   return names;
@@ -80,21 +81,21 @@
   if (const wire::Value* const kinds = settings.optional("kinds"))
     names.kinds = parseNameList(*kinds, "settings.kinds");
   names.classes = parseClassNames(settings);
-  if (names.classes.size() > kClassesMax) fail("settings.classes", "holds more than 32 classes");
+  if (names.classes.size() > kClassesMax) fail("settings.classes", "has more than 32 classes");
   return names;
 }
 
-std::string textOf(const wire::Value& value) {
+std::string toJson(const wire::Value& value) {
   rapidjson::StringBuffer bytes;
   rapidjson::Writer<rapidjson::StringBuffer> writer(bytes);
   value.Accept(writer);
   return {bytes.GetString(), bytes.GetSize()};
 }
 
-/// Errors of several fields, a line each.
+/// Collects the errors of several fields, a line for each.
 class ErrorList {
  public:
-  /// Runs `read`, and keeps the error if it throws one.
+  /// Runs `read` and stores its ParseError, if it throws one.
   template <class Read>
   void collect(const Read& read) {
     try {
@@ -112,7 +113,8 @@
   std::string text_;
 };
 
-/// Reads one configuration field by field; an invalid one does not hide the next.
+/// Reads one configuration field by field. It continues after an invalid field, so that all errors are
+/// reported.
 class Parser {
  public:
   Parser(const Fields& fields, const Environment& environment, DiscoveryPrecedence precedence,
@@ -158,7 +160,7 @@
 
   std::string relayText() const { return Fields(fields_.required("relay"), "relay").text("address"); }
 
-  // Port 0: the address itself is invalid, which has an error of its own.
+  // Port 0 means that the address could not be parsed, which has been reported already.
   void checkNotOwn(const net::Address& peer, const char* field) const {
     if (peer.port != 0 && peer.text() == config_.listen.text())
       fail(field, "is the supervisor's own address");
@@ -167,8 +169,8 @@
   void readSettings() {
     const wire::Value& settings = fields_.required("settings");
     config_.settings = wire::parseSettings(settings, "settings");
-    config_.settingsText = textOf(settings);
-    if (config_.settings.slices == 0) fail("settings.extra.shards", "is 0: this protocol needs slices");
+    config_.settingsText = toJson(settings);
+    if (config_.settings.slices == 0) fail("settings.extra.shards", "is 0, expected at least 1 slice");
   }
 
   void readNamesAndCachedList() {
@@ -180,7 +182,7 @@
     config_.cachedList.kind = EndpointListKind::Cached;
   }
 
-  // An invalid version is an error only where a reload applies settings; elsewhere the field has no meaning.
+  // An invalid version is an error only if a reload applies settings. Otherwise the field is not used.
   void readVersion() {
     const wire::Value* const version = fields_.optional("version");
     if (version == nullptr) return;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-/// Configuration of a supervisor: environment variables and the JSON file that NODE_CONFIG names.
+/// Configuration of a supervisor: a JSON file, whose path is in NODE_CONFIG, and environment variables.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace peargrade::config {
 
-/// Resources of the machine that the supervisor may use: `limits`.
+/// Resources of the machine that the supervisor may use. Field `limits` of the file.
 struct Limits {
   bool operator!=(const Limits& other) const {
     return cores != other.cores || memoryMb != other.memoryMb || sockets != other.sockets;
@@ -22,10 +22,11 @@
 
   double cores = 1;
   std::int64_t memoryMb = 192;  // MiB
-  int sockets = 1024;
+  int sockets = 1024;           // descriptors
 };
 
-/// A configuration whose fields are valid each by itself.
+/// A configuration whose fields are each valid by themselves. validate() and checkReload() make further
+/// checks.
 struct Config {
   std::string name;
   net::Address listen;
@@ -34,40 +35,41 @@
   std::uint64_t seed = 0;
   Limits limits;
   Settings settings;
-  /// `settings` as the file has it.
+  /// `settings` of the file, as JSON.
   std::string settingsText;
-  /// `version`, set by whoever writes the file; nothing if the file has none or an invalid one.
+  /// `version`, set by the author of the file; nothing if it is missing or invalid.
   std::optional<std::int64_t> version;
-  /// `version` is there and is not a whole number from 0 on. Matters only where a reload applies settings.
+  /// The file has a `version` that is not a whole number of 0 or more. An error only if a reload applies
+  /// settings.
   bool versionIsInvalid = false;
-  /// Hash of the fields that a reload may apply, as the file has them.
+  /// Hash of the fields that a reload may apply, from the file without the environment.
   std::uint64_t contentHash = 0;
   /// Zones, kinds and classes of `settings`.
   discovery::Names names;
-  /// `known`: the endpoint list as last cached; empty if there is none.
+  /// `known`: the cached endpoint list; empty if the file has none.
   EndpointListUpdate cachedList;
-  /// Socket addresses of its endpoints, in their order; "" where one is missing.
+  /// Socket addresses of the endpoints of `cachedList`, in the same order; "" for an endpoint without one.
   std::vector<std::string> cachedAddresses;
 };
 
 /// Looks up an environment variable; nothing if it is not set.
 using Environment = std::function<std::optional<std::string>(const char*)>;
-/// The variables of this process.
+/// Reads a variable of this process.
 std::optional<std::string> processEnvironment(const char* name);
 
-/// Which address of discovery counts where both the file and the environment have one. At the start it is the
-/// environment's; a file that was replaced since is newer than the environment.
+/// Which address of discovery takes precedence if both the file and the environment have one. The
+/// environment's does at the start. On a reload the file is newer than the environment, so the file's does.
 enum class DiscoveryPrecedence { Environment, File };
 
-/// Reads the text of a file together with the environment. Throws ParseError with a line for each invalid
-/// field.
+/// Parses the text of a file, with the overrides of the environment. Throws ParseError with a line for each
+/// invalid field.
 Config parse(const std::string& text, const Environment& environment,
              DiscoveryPrecedence precedence = DiscoveryPrecedence::Environment);
-/// Reads the file at `path`. Throws ParseError also if it cannot be read or is empty.
+/// Reads and parses the file at `path`. Throws ParseError also if it cannot be read or is empty.
 Config load(const std::string& path, const Environment& environment,
             DiscoveryPrecedence precedence = DiscoveryPrecedence::Environment);
 
-/// Names of the fields in which `next` differs from `current` and which only a restart applies.
+/// Names of the fields that differ between `current` and `next` and that only a restart applies.
 std::vector<std::string> fieldsNeedingRestart(const Config& current, const Config& next);
 
 }  // namespace peargrade::config
--- a/src/config/reload_check.cpp
+++ b/src/config/reload_check.cpp
@@ -8,9 +8,11 @@
 namespace {
 
 constexpr double kUnbounded = std::numeric_limits<double>::infinity();
-constexpr double kAboveZero = std::numeric_limits<double>::min();  // of divisors: 0 itself is rejected
+// Lower bound of divisors, which rejects 0.
+constexpr double kAboveZero = std::numeric_limits<double>::min();
 constexpr int kHashDigits = 16;
 
+/// A setting with its inclusive range.
 struct Range {
   const char* field;
   double value;
@@ -18,14 +20,15 @@
   double max;
 };
 
-/// Messages of one rejection, a line each.
+/// Collects the messages of one rejection, a line for each.
 class MessageList {
  public:
   void add(const std::string& message) {
     if (!text_.empty()) text_ += '\n';
     text_ += message;
   }
-  std::optional<Rejection> as(RejectionCode code) const {
+  /// A rejection with all messages; nothing if there are none.
+  std::optional<Rejection> toRejection(RejectionCode code) const {
     if (text_.empty()) return std::nullopt;
     return Rejection{code, text_};
   }
@@ -69,16 +72,16 @@
   for (const Range& range : ranges) {
     if (range.value < range.min || range.value > range.max) messages.add(outOfRangeMessage(range));
   }
-  return messages.as(RejectionCode::OutOfRange);
+  return messages.toRejection(RejectionCode::OutOfRange);
 }
 
-// Slices, tables and connections are built on these fields.
+// Slices, routing tables and connections are built from these fields when the program starts.
 std::optional<Rejection> checkStructure(const Config& inForce, const Config& next) {
   const Settings& current = inForce.settings;
   const Settings& proposed = next.settings;
   MessageList messages;
   const auto requireSame = [&messages](const char* field, bool same) {
-    if (!same) messages.add(std::string(field) + ": stays as it was at the start, a change needs a restart");
+    if (!same) messages.add(std::string(field) + ": stays unchanged until a restart");
   };
   requireSame("settings.classes", inForce.names.classes == next.names.classes);
   requireSame("settings.zones", inForce.names.zones == next.names.zones);
@@ -87,7 +90,7 @@
   requireSame("settings.extra.proxyCount", current.proxies == proposed.proxies);
   requireSame("settings.extra.oneOwner", current.sliceOwnership == proposed.sliceOwnership);
   requireSame("settings.extra.throttleBy", current.admissionUnit == proposed.admissionUnit);
-  return messages.as(RejectionCode::Structure);
+  return messages.toRejection(RejectionCode::Structure);
 }
 
 std::optional<Rejection> checkVersion(const Config& inForce, const Config& next) {
@@ -131,8 +134,8 @@
 }
 
 std::optional<Rejection> checkReload(const Config& inForce, const Config& next) {
-  if (auto found = validate(next)) return found;
-  if (auto found = checkVersion(inForce, next)) return found;
+  if (auto rejection = validate(next)) return rejection;
+  if (auto rejection = checkVersion(inForce, next)) return rejection;
   return checkStructure(inForce, next);
 }
 
--- a/src/config/reload_check.h
+++ b/src/config/reload_check.h
@@ -1,4 +1,4 @@
-/// Checks of a configuration that a running supervisor is to apply by a reload.
+/// Checks of a configuration before a reload applies it in a running supervisor.
 #pragma once
 
 #include <optional>
@@ -10,27 +10,28 @@
 
 /// Why a configuration is rejected. docs/oncall.md lists the codes.
 enum class RejectionCode {
-  Unreadable,    // missing, half written, or with an invalid field (ParseError)
-  OutOfRange,    // a value of `settings` that no site can have
-  WrongVersion,  // `version` is missing where one is in force, or is not a whole number from 0 on
-  StaleVersion,  // lower than the one in force
-  SameVersion,   // the one in force, with other content
-  Structure,     // a field that cannot change while the program runs
+  Unreadable,    // the file is missing, incomplete, or has an invalid field (ParseError)
+  OutOfRange,    // a value of `settings` is out of its range
+  WrongVersion,  // `version` is not a whole number of 0 or more, or is missing while one is in force
+  StaleVersion,  // `version` is lower than the one in force
+  SameVersion,   // `version` is the one in force, but the content differs
+  Structure,     // a field differs that cannot change while the program runs
 };
-/// The code that stands in the log line: "out-of-range".
+/// Name of the code in log lines, such as "out-of-range".
 const char* codeOf(RejectionCode code);
 
+/// Why a configuration is rejected, for the log.
 struct Rejection {
   RejectionCode code = RejectionCode::Unreadable;
-  /// "FIELD: what is wrong with it", a line for each field.
+  /// "FIELD: REASON", a line for each field.
   std::string message;
 };
 
-/// What is wrong with a configuration by itself beyond what `parse` checks: ranges of `settings`, the form of
-/// `version`. Nothing if it is valid.
+/// Checks what `parse` does not: ranges of `settings` and the format of `version`. Returns nothing if the
+/// configuration is valid.
 std::optional<Rejection> validate(const Config& config);
 
-/// Why `next` cannot replace `inForce` in a running program. Nothing if it can.
+/// Checks whether `next` can replace `inForce` in a running program. Returns nothing if it can.
 std::optional<Rejection> checkReload(const Config& inForce, const Config& next);
 
 /// "version 7 (content 00c0ffee00c0ffee)", or "no version (content ...)", for the log.
--- a/tests/config/config_fixture.h
+++ b/tests/config/config_fixture.h
@@ -1,4 +1,4 @@
-/// A valid configuration and changes of it.
+/// A valid configuration, and helpers that change and parse it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
     R"("settings":{"classes":[{"name":"lookup","aimUs":800000,"effect":"repeatable"}],"zones":["a","b"],)"
     R"("kinds":["m1"],"groupSize":2,"extra":{"shards":12}}})";
 
-/// An environment with these variables only.
+/// An environment with only these variables.
 inline Environment environmentWith(std::map<std::string, std::string> variables) {
   return [variables = std::move(variables)](const char* name) -> std::optional<std::string> {
     const auto found = variables.find(name);
--- a/tests/config/config_reload_test.cpp
+++ b/tests/config/config_reload_test.cpp
@@ -1,4 +1,4 @@
-// What a reload compares: the fields that need a restart, the version and the content hash.
+// The parts of a configuration that a reload compares: fields that need a restart, version and content hash.
 #include <gtest/gtest.h>
 
 #include "config_fixture.h"
@@ -33,7 +33,7 @@
   EXPECT_EQ(parseWith(replaced("\"known\":{", "\"known\": {")).contentHash, hash);
   EXPECT_EQ(parseWith(replaced("8c1f30d27a5be964", "1")).contentHash, hash) << "applied at the start only";
   EXPECT_EQ(parseWith(kValidConfig, {{"NODE_DISCOVERY", "127.2.0.9:1"}}).contentHash, hash)
-      << "as the file has it";
+      << "the hash covers the file, not the environment";
   for (const auto& [part, replacement] :
        {std::pair{"127.2.0.1:8500", "127.2.0.9:8500"}, std::pair{"127.2.0.2:6400", "127.2.0.9:6400"},
         std::pair{"\"aimUs\":800000", "\"aimUs\":900000"}})
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// Reading of a configuration: its fields, what takes precedence, and the errors that name invalid fields.
+// Parsing of a configuration: its fields, their precedence, and errors that name invalid fields.
 #include "config/config.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   EXPECT_EQ(config.discovery.text(), "127.2.0.1:8500") << "an empty variable counts as not set";
 }
 
-// The variable is from the start; a file that was replaced since is newer.
+// The environment dates from the start of the process. A file that was replaced since is newer.
 TEST(Config, FilesDiscoveryTakesPrecedenceOverTheEnvironmentOnAReload) {
   const Environment environment =
       environmentWith({{"NODE_DISCOVERY", "127.2.0.9:1"}, {"NODE_LISTEN", "127.0.0.9:1"}});
@@ -64,7 +64,7 @@
     Config, ConfigErrors,
     testing::Values(
         InvalidConfig{"EmptyFile", "", "not JSON"},
-        InvalidConfig{"NoObject", "[]", "configuration: is not an object"},
+        InvalidConfig{"NotAnObject", "[]", "configuration: is not an object"},
         InvalidConfig{"ListenMissing", replaced(R"("listen":"127.0.0.4:3000",)", ""),
                       "listen: is missing, and NODE_LISTEN is not set"},
         InvalidConfig{"ListenIsAName", replaced("127.0.0.4:3000", "localhost:3000"),
@@ -82,10 +82,10 @@
         InvalidConfig{"ClassWithoutName", replaced(R"("classes":[{"name":"lookup",)", R"("classes":[{)"),
                       "settings.classes: 'name' is missing"},
         InvalidConfig{"ClassWithASeparator", replaced("\"lookup\"", "\"look up\""),
-                      "settings.classes: 'look up' cannot stand"},
+                      "settings.classes: 'look up' is empty or contains a separator"},
         InvalidConfig{"ZoneTwice", replaced(R"(["a","b"])", R"(["a","a"])"),
-                      "settings.zones: 'a' is there twice"},
-        InvalidConfig{"ZonesNoArray", replaced(R"(["a","b"])", R"("a")"),
+                      "settings.zones: 'a' occurs twice"},
+        InvalidConfig{"ZonesNotAnArray", replaced(R"(["a","b"])", R"("a")"),
                       "settings: 'zones' is not an array"},
         InvalidConfig{"CachedEndpointInUnknownZone", replaced(R"("az":"b")", R"("az":"c")"),
                       "'az' is no zone of the settings"},
