--- a/src/commands/check_command.cpp
+++ b/src/commands/check_command.cpp
@@ -23,9 +23,9 @@
 }  // namespace
 
 CheckCommand::CheckCommand(CLI::App& program)
-    : Command(program.add_subcommand("check", "read a configuration and say what it holds")),
+    : Command(program.add_subcommand("check", "validate the configuration files and print a summary")),
       options_(app()) {
-  app()->add_flag("--settings", listSettings_, "list what the operator's file may hold, and end");
+  app()->add_flag("--settings", listSettings_, "print all settings of the operator's file and exit");
 }
 
 int CheckCommand::run() {
--- a/src/commands/check_command.h
+++ b/src/commands/check_command.h
@@ -1,4 +1,4 @@
-/// `peargrade check`: what the configuration and the operator's file say.
+/// `peargrade check`: validates the configuration and the operator's file and prints a summary.
 #pragma once
 
 #include "commands/command.h"
--- a/src/commands/command.h
+++ b/src/commands/command.h
@@ -1,4 +1,4 @@
-/// What all commands of the program have in common.
+/// Base class of the program's commands.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/commands/command_registry.h
+++ b/src/commands/command_registry.h
@@ -8,7 +8,7 @@
 
 namespace peargrade::commands {
 
-/// Declares every command on `app`, in the order that the help shows. `app` must outlive them.
+/// Declares every command on `app`, in the order of the help. `app` must outlive them.
 std::vector<std::unique_ptr<Command>> addCommands(CLI::App& app);
 
 }  // namespace peargrade::commands
--- a/src/commands/configuration_options.cpp
+++ b/src/commands/configuration_options.cpp
@@ -17,12 +17,17 @@
 
 ConfigurationOptions::ConfigurationOptions(CLI::App* app) : app_(app) {
   app->add_option("-c,--config", path_, "configuration file")->envname("NODE_CONFIG");
-  app->add_option("--name", overrides_.name, "its name; before the file's")->envname("NODE_NAME");
-  app->add_option("--listen", overrides_.listen, "address to listen on; before the file's")
+  app->add_option("--name", overrides_.name,
+                  "name of the supervisor; takes precedence over the configuration file")
+      ->envname("NODE_NAME");
+  app->add_option("--listen", overrides_.listen,
+                  "address to listen on; takes precedence over the configuration file")
       ->envname("NODE_LISTEN");
-  app->add_option("--discovery", overrides_.discovery, "discovery's address; before the file's")
+  app->add_option("--discovery", overrides_.discovery,
+                  "address of discovery; takes precedence over the configuration file")
       ->envname("NODE_DISCOVERY");
-  app->add_option("--operator", operatorPath_, "the operator's file; without it all that it sets is off")
+  app->add_option("--operator", operatorPath_,
+                  "the operator's file; without it all features that it can enable are off")
       ->envname("PEARGRADE_OPERATOR");
 }
 
@@ -36,9 +41,9 @@
       return body(load());
     } catch (const ParseError& error) {
       if (error.code() == ParseErrorCode::InvalidOperatorFile)
-        std::cerr << "peargrade: the operator's file is wrong:\n" << error.what() << '\n';
+        std::cerr << "peargrade: the operator's file is invalid:\n" << error.what() << '\n';
       else
-        std::cerr << "peargrade: the configuration is wrong (" << path_ << "):\n" << error.what() << '\n';
+        std::cerr << "peargrade: the configuration is invalid (" << path_ << "):\n" << error.what() << '\n';
       return kExitInvalidFile;
     }
   });
@@ -48,7 +53,7 @@
   return config::load(path_, environment(), config::DiscoveryPrecedence::File);
 }
 
-// Where settings may change at run time, they must be valid at the start too.
+// If a reload may change the settings, they are checked as strictly at the start.
 LoadedFiles ConfigurationOptions::load() const {
   LoadedFiles files;
   files.configuration = config::load(path_, environment());
--- a/src/commands/configuration_options.h
+++ b/src/commands/configuration_options.h
@@ -12,15 +12,14 @@
 
 namespace peargrade::commands {
 
-/// Values that take precedence over the same fields of the configuration file, by option or environment
-/// variable.
+/// Values from options or environment variables that take precedence over fields of the configuration file.
 struct ConfigurationOverrides {
   std::string name;       ///< `--name`, NODE_NAME.
   std::string listen;     ///< `--listen`, NODE_LISTEN.
   std::string discovery;  ///< `--discovery`, NODE_DISCOVERY.
 
-  /// The value for an environment variable, in the form that config::load() asks for. An empty value is not
-  /// set.
+  /// The value of the option for an environment variable, for config::load(), which treats an empty value as
+  /// not set. Nothing for other variables.
   std::optional<std::string> valueOf(const std::string& variable) const;
 };
 
@@ -29,27 +28,27 @@
   config::Config configuration;
   std::optional<op::Operator> operatorFile;
 
-  /// Null without an operator's file.
+  /// Null if there is no operator's file.
   const op::Operator* operatorSettings() const { return operatorFile ? &*operatorFile : nullptr; }
 };
 
 /// Declares the options on a command and loads the files that they name.
 class ConfigurationOptions {
  public:
-  /// `app`: the command's parser; must outlive this.
+  /// `app`: parser of the command; must outlive this.
   explicit ConfigurationOptions(CLI::App* app);
   ConfigurationOptions(const ConfigurationOptions&) = delete;
   ConfigurationOptions& operator=(const ConfigurationOptions&) = delete;
 
-  /// Path of the operator's file; empty without one.
+  /// Path of the operator's file; empty if there is none.
   const std::string& operatorPath() const { return operatorPath_; }
 
-  /// Loads the files, passes them to `body` and returns its exit code. Writes errors, of `body` too, to
-  /// standard error and returns the exit code for them.
+  /// Loads the files, passes them to `body` and returns its exit code. If loading or `body` throws, writes
+  /// the error to standard error and returns its exit code.
   int loadAndRun(const std::function<int(const LoadedFiles&)>& body) const;
 
-  /// Reads the configuration file again. Its fields take precedence over environment variables, which are
-  /// older. Throws ParseError.
+  /// Reads the configuration file again. The file's address of discovery takes precedence over the
+  /// environment, which is older. Throws ParseError.
   config::Config reload() const;
 
  private:
--- a/src/commands/errors.h
+++ b/src/commands/errors.h
@@ -1,16 +1,17 @@
-/// Errors of commands: one message on standard error and an exit code.
+/// Error reports of commands: a message on standard error and an exit code.
 #pragma once
 
 #include <functional>
 
 namespace peargrade::commands {
 
-/// Exit code for an error while a command runs.
+/// Exit code if a command fails.
 inline constexpr int kExitFailure = 1;
-/// Exit code for a configuration or an operator's file that cannot be used.
+/// Exit code if the configuration or the operator's file is missing or invalid.
 inline constexpr int kExitInvalidFile = 2;
 
-/// Returns the exit code of `body`. For a std::exception it writes the message and returns kExitFailure.
+/// Returns the exit code of `body`. If `body` throws a std::exception, writes its message to standard error
+/// and returns kExitFailure.
 int reportingErrors(const std::function<int()>& body);
 
 }  // namespace peargrade::commands
--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -10,7 +10,7 @@
 ServeCommand::ServeCommand(CLI::App& program)
     : Command(program.add_subcommand("serve", "run one supervisor until SIGTERM")), options_(app()) {
   app()
-      ->add_option("--log-level", logLevel_, "least level that is logged: debug, info, warn, error, off")
+      ->add_option("--log-level", logLevel_, "lowest level that is logged: debug, info, warn, error, off")
       ->envname("NODE_LOG_LEVEL")
       ->check(CLI::IsMember({"debug", "info", "warn", "error", "off"}))
       ->capture_default_str();
@@ -21,7 +21,7 @@
   return options_.loadAndRun([&](const LoadedFiles& files) { return serve(files, log); });
 }
 
-// The sources beyond discovery are loaded only if the operator's file asks for them.
+// The module with the sources other than discovery is loaded only if the operator's file declares one.
 int ServeCommand::serve(const LoadedFiles& files, log::Log& log) const {
   const op::Operator* operatorSettings = files.operatorSettings();
   supervisor::MakeSources makeSources;
--- a/src/commands/serve_command.h
+++ b/src/commands/serve_command.h
@@ -1,4 +1,4 @@
-/// `peargrade serve`: one supervisor until SIGTERM.
+/// `peargrade serve`: runs one supervisor until SIGTERM.
 #pragma once
 
 #include <string>
--- a/src/commands/sources_explain_command.cpp
+++ b/src/commands/sources_explain_command.cpp
@@ -9,12 +9,13 @@
 namespace peargrade::commands {
 
 SourcesExplainCommand::SourcesExplainCommand(CLI::App& program)
-    : Command(program.add_subcommand("sources", "where the list of servers comes from")),
-      explain_(app()->add_subcommand(
-          "explain", "ask every source once: who says what of each server, which rule decides, until when")),
+    : Command(program.add_subcommand("sources", "inspect the sources of the list of servers")),
+      explain_(app()->add_subcommand("explain",
+                                     "query every source once; print for each server what each source lists, "
+                                     "the deciding rule and its expiry")),
       options_(explain_) {
   app()->require_subcommand(1);
-  explain_->add_flag("--json", arguments_.json, "as JSON");
+  explain_->add_flag("--json", arguments_.json, "print JSON");
 }
 
 int SourcesExplainCommand::run() {
--- a/src/commands/sources_explain_command.h
+++ b/src/commands/sources_explain_command.h
@@ -1,4 +1,4 @@
-/// `peargrade sources explain`: what every source says of each server, and which rule decides.
+/// `peargrade sources explain`: prints what each source lists for each server, and the rule that decides.
 #pragma once
 
 #include "commands/command.h"
--- a/src/commands/srv_lookup_command.cpp
+++ b/src/commands/srv_lookup_command.cpp
@@ -8,13 +8,17 @@
 namespace peargrade::commands {
 
 SrvLookupCommand::SrvLookupCommand(CLI::App& program)
-    : Command(program.add_subcommand("srv", "SRV records")) {
+    : Command(program.add_subcommand("srv", "query SRV records")) {
   app()->require_subcommand(1);
-  CLI::App* lookup = app()->add_subcommand("lookup", "look a service up: answers, lifetimes, steps taken");
-  lookup->add_option("name", arguments_.name, "such as _orders._tcp.example.org")->required();
-  lookup->add_option("--server", arguments_.servers, "a name server, 127.0.0.1:53; may stand several times")
+  CLI::App* lookup = app()->add_subcommand(
+      "lookup", "look up a service; print the answers, their lifetimes and the queries");
+  lookup->add_option("name", arguments_.name, "name of the service, such as _orders._tcp.example.org")
       ->required();
-  lookup->add_flag("--json", arguments_.json, "as JSON");
+  lookup
+      ->add_option("--server", arguments_.servers,
+                   "address of a name server, such as 127.0.0.1:53; may be repeated")
+      ->required();
+  lookup->add_flag("--json", arguments_.json, "print JSON");
 }
 
 int SrvLookupCommand::run() {
--- a/src/commands/srv_lookup_command.h
+++ b/src/commands/srv_lookup_command.h
@@ -1,4 +1,4 @@
-/// `peargrade srv lookup`: one lookup of SRV records.
+/// `peargrade srv lookup`: looks up the SRV records of a service once.
 #pragma once
 
 #include "commands/command.h"
--- a/src/commands/version_command.h
+++ b/src/commands/version_command.h
@@ -1,4 +1,4 @@
-/// `peargrade version`.
+/// `peargrade version`: prints the version.
 #pragma once
 
 #include "commands/command.h"
--- a/src/commands/zone_command.h
+++ b/src/commands/zone_command.h
@@ -1,4 +1,4 @@
-/// `peargrade zone check|show|diff|update|accept`: zone files and signed updates.
+/// `peargrade zone check|show|diff|update|accept`: checks zone files and sends signed updates.
 #pragma once
 
 #include <string>
@@ -17,8 +17,10 @@
   void addFileCommands();
   void addUpdate();
   void addAccept();
+  /// Adds a subcommand with the option `--json`.
   CLI::App* addVerb(const char* verb, const char* description);
-  /// A verb with `count` files in the positional argument `argument`, and the option `--origin`.
+  /// Adds a subcommand with `count` files in the positional argument `argument` and with the option
+  /// `--origin`.
   CLI::App* addFileVerb(const char* verb, const char* description, const char* argument, int count);
 
   sources::ZoneCommand arguments_;
--- a/src/errors/parse_error.h
+++ b/src/errors/parse_error.h
@@ -1,4 +1,4 @@
-// The error of everything that is read from outside: messages, the configuration and the operator's file.
+/// Error of parsing external input: messages, the configuration and the operator's file.
 #pragma once
 
 #include <stdexcept>
@@ -6,7 +6,7 @@
 
 namespace peargrade {
 
-/// What could not be read.
+/// Kind of the invalid input.
 enum class ParseErrorCode {
   InvalidJson,           // the bytes are not JSON
   InvalidMessage,        // a message or line lacks a field, or one is out of range
@@ -14,15 +14,15 @@
   InvalidOperatorFile,   // the operator's file
 };
 
-/// Input that does not follow its specification. what() is "PLACE: MESSAGE", or the message alone where it
-/// names places itself (a line for each mistake).
+/// Invalid input. what() is "PLACE: MESSAGE", or the message alone if it names the places itself, with a line
+/// for each error.
 class ParseError : public std::runtime_error {
  public:
   ParseError(ParseErrorCode code, const std::string& place, const std::string& message)
       : std::runtime_error(place.empty() ? message : place + ": " + message), code_(code), place_(place) {}
 
   ParseErrorCode code() const { return code_; }
-  /// Where it is: a field, a file or a message; "" where the text names the places.
+  /// The invalid field, file or message; "" if the message names the places itself.
   const std::string& place() const { return place_; }
 
  private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-/// The program `peargrade`: a command a file in src/commands.
+/// The program `peargrade`. Its commands are in src/commands.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -12,8 +12,8 @@
 namespace {
 
 int run(int argc, char** argv) {
-  // First, because a signal that comes before a supervisor is ready must wait. Other commands end by their
-  // signals.
+  // Block signals first, so that a signal that arrives before the supervisor is ready stays pending. Other
+  // commands keep the default action.
   if (argc > 1 && std::string(argv[1]) == "serve") peargrade::supervisor::Signals::block();
 
   CLI::App app("peargrade: a traffic director for a fleet of sidecar proxies");
