--- a/src/operator/schema.cpp
+++ b/src/operator/schema.cpp
@@ -42,8 +42,8 @@
   return true;
 }
 
-std::string formatRange(const Field& f, const std::string& min, const std::string& max) {
-  if (f.max == 0) return "";
+std::string formatRange(const Field& field, const std::string& min, const std::string& max) {
+  if (field.max == 0) return "";
   return min == max ? ", " + min : " from " + min + " to " + max;
 }
 
@@ -69,13 +69,13 @@
   // The section for a block that the file omits.
   Section defaultSection(const Block& spec) {
     Section section;
-    for (const Field& f : spec.fields) {
-      std::vector<FieldValue>& values = section.fields[f.name];
-      if (!f.defaultValue.empty()) values.push_back(defaultValueOf(f));
+    for (const Field& field : spec.fields) {
+      std::vector<FieldValue>& values = section.fields[field.name];
+      if (!field.defaultValue.empty()) values.push_back(defaultValueOf(field));
     }
-    for (const Block& b : spec.blocks) {
-      std::vector<Section>& sections = section.blocks[b.name];
-      if (!b.repeatable) sections.push_back(defaultSection(b));
+    for (const Block& block : spec.blocks) {
+      std::vector<Section>& sections = section.blocks[block.name];
+      if (!block.repeatable) sections.push_back(defaultSection(block));
     }
     return section;
   }
@@ -89,31 +89,33 @@
     return where.empty() ? name : where + "." + name;
   }
 
-  static FieldValue defaultValueOf(const Field& f) {
+  static FieldValue defaultValueOf(const Field& field) {
     kdl::Value value;
     value.kind = kdl::Value::Kind::Text;
-    value.text = f.defaultValue;
-    if (f.kind == Kind::Count || f.kind == Kind::Share) {
-      value.kind = f.kind == Kind::Count ? kdl::Value::Kind::Integer : kdl::Value::Kind::Float;
-      value.number = std::strtod(f.defaultValue.c_str(), nullptr);
-    } else if (f.kind == Kind::Flag) {
+    value.text = field.defaultValue;
+    if (field.kind == Kind::Count || field.kind == Kind::Share) {
+      value.kind = field.kind == Kind::Count ? kdl::Value::Kind::Integer : kdl::Value::Kind::Float;
+      value.number = std::strtod(field.defaultValue.c_str(), nullptr);
+    } else if (field.kind == Kind::Flag) {
       value.kind = kdl::Value::Kind::Boolean;
-      value.boolean = f.defaultValue == "true";
+      value.boolean = field.defaultValue == "true";
     }
     FieldValue parsed;
-    parseValue(f, value, parsed);
+    parseValue(field, value, parsed);
     return parsed;
   }
 
-  static bool parseValue(const Field& f, const kdl::Value& value, FieldValue& parsed) {
+  static bool parseValue(const Field& field, const kdl::Value& value, FieldValue& parsed) {
     using K = kdl::Value::Kind;
     parsed.text = value.text;
     parsed.number = value.number;
     parsed.yes = value.boolean;
     parsed.place = value.place;
-    const auto inRange = [&] { return f.max == 0 || (parsed.number >= f.min && parsed.number <= f.max); };
+    const auto inRange = [&] {
+      return field.max == 0 || (parsed.number >= field.min && parsed.number <= field.max);
+    };
     if (!value.type.empty()) return false;
-    switch (f.kind) {
+    switch (field.kind) {
       case Kind::Duration:
         return value.kind == K::Text && parseWithUnit(value.text, kDurations, parsed.number) && inRange();
       case Kind::Size:
@@ -128,81 +130,82 @@
         return value.kind == K::Text && net::Address::parse(value.text).has_value();
       case Kind::Word:
         return value.kind == K::Text &&
-               std::find(f.words.begin(), f.words.end(), value.text) != f.words.end();
+               std::find(field.words.begin(), field.words.end(), value.text) != field.words.end();
       case Kind::Text:
         return value.kind == K::Text && !value.text.empty() && value.text.size() <= 255;
     }
     return false;
   }
 
-  void addValue(const Field& f, const kdl::Value& value, const std::string& where, Section& section) {
-    std::vector<FieldValue>& values = section.fields[f.name];
-    if (!values.empty() && !f.repeatable)
-      return addError(value.place, joinPath(where, f.name), "a second occurrence", "at most one");
+  void addValue(const Field& field, const kdl::Value& value, const std::string& where, Section& section) {
+    std::vector<FieldValue>& values = section.fields[field.name];
+    if (!values.empty() && !field.repeatable)
+      return addError(value.place, joinPath(where, field.name), "a second occurrence", "at most one");
     FieldValue parsed;
     parsed.given = true;
-    if (!parseValue(f, value, parsed))
-      addError(value.place, joinPath(where, f.name), formatValue(value), describeExpectedValue(f));
+    if (!parseValue(field, value, parsed))
+      addError(value.place, joinPath(where, field.name), formatValue(value), describeExpectedValue(field));
     values.push_back(parsed);
   }
 
   void checkArguments(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
     std::size_t next = 0;
-    for (const Field& f : spec.fields) {
-      if (f.form == Form::Argument && next < node.arguments.size())
-        addValue(f, node.arguments[next++], where, section);
+    for (const Field& field : spec.fields) {
+      if (field.form == Form::Argument && next < node.arguments.size())
+        addValue(field, node.arguments[next++], where, section);
     }
     if (next < node.arguments.size())
       addError(node.arguments[next].place, where, formatValue(node.arguments[next]), "no further argument");
   }
 
   void checkProperties(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
-    for (const kdl::Property& p : node.properties) {
-      const auto f = std::find_if(spec.fields.begin(), spec.fields.end(), [&](const Field& field) {
-        return field.form == Form::Property && field.name == p.name;
-      });
-      if (f == spec.fields.end())
-        addError(p.place, where, "'" + p.name + "='", allowedNames(spec, Form::Property));
+    for (const kdl::Property& property : node.properties) {
+      const auto declaredField = std::find_if(
+          spec.fields.begin(), spec.fields.end(),
+          [&](const Field& field) { return field.form == Form::Property && field.name == property.name; });
+      if (declaredField == spec.fields.end())
+        addError(property.place, where, "'" + property.name + "='", allowedNames(spec, Form::Property));
       else
-        addValue(*f, p.value, where, section);
+        addValue(*declaredField, property.value, where, section);
     }
   }
 
   void checkChild(const Block& spec, const kdl::Node& node, const std::string& where, Section& section) {
-    const auto f = std::find_if(spec.fields.begin(), spec.fields.end(), [&](const Field& field) {
+    const auto declaredField = std::find_if(spec.fields.begin(), spec.fields.end(), [&](const Field& field) {
       return field.form == Form::Node && field.name == node.name;
     });
-    if (f != spec.fields.end()) {
+    if (declaredField != spec.fields.end()) {
       if (node.arguments.size() != 1 || !node.properties.empty() || !node.children.empty())
         return addError(node.place, joinPath(where, node.name),
                         std::to_string(node.arguments.size()) + " values" +
                             (node.properties.empty() ? "" : " and properties") +
                             (node.children.empty() ? "" : " and a block"),
-                        "one value: " + describeExpectedValue(*f));
-      return addValue(*f, node.arguments[0], where, section);
+                        "one value: " + describeExpectedValue(*declaredField));
+      return addValue(*declaredField, node.arguments[0], where, section);
     }
-    const auto b = std::find_if(spec.blocks.begin(), spec.blocks.end(),
-                                [&](const Block& inner) { return inner.name == node.name; });
-    if (b == spec.blocks.end())
+    const auto declaredBlock = std::find_if(spec.blocks.begin(), spec.blocks.end(),
+                                            [&](const Block& inner) { return inner.name == node.name; });
+    if (declaredBlock == spec.blocks.end())
       return addError(node.place, where.empty() ? "file" : where, "'" + node.name + "'",
                       allowedNames(spec, Form::Node));
-    std::vector<Section>& sections = section.blocks[b->name];
-    if (!sections.empty() && !b->repeatable)
+    std::vector<Section>& sections = section.blocks[declaredBlock->name];
+    if (!sections.empty() && !declaredBlock->repeatable)
       return addError(node.place, joinPath(where, node.name), "a second occurrence", "at most one");
-    sections.push_back(checkBlock(*b, node, joinPath(where, node.name)));
+    sections.push_back(checkBlock(*declaredBlock, node, joinPath(where, node.name)));
   }
 
   // Reports required fields that are missing and adds the defaults of the others.
   void addMissingFields(const Block& spec, kdl::Place place, const std::string& where, Section& section) {
-    for (const Field& f : spec.fields) {
-      std::vector<FieldValue>& values = section.fields[f.name];
+    for (const Field& field : spec.fields) {
+      std::vector<FieldValue>& values = section.fields[field.name];
       if (!values.empty()) continue;
-      if (f.required) addError(place, joinPath(where, f.name), "nothing", describeExpectedValue(f));
-      if (!f.defaultValue.empty()) values.push_back(defaultValueOf(f));
+      if (field.required)
+        addError(place, joinPath(where, field.name), "nothing", describeExpectedValue(field));
+      if (!field.defaultValue.empty()) values.push_back(defaultValueOf(field));
     }
-    for (const Block& b : spec.blocks) {
-      std::vector<Section>& sections = section.blocks[b.name];
-      if (sections.empty() && !b.repeatable) sections.push_back(defaultSection(b));
+    for (const Block& block : spec.blocks) {
+      std::vector<Section>& sections = section.blocks[block.name];
+      if (sections.empty() && !block.repeatable) sections.push_back(defaultSection(block));
     }
   }
 
@@ -210,11 +213,11 @@
   static std::string allowedNames(const Block& spec, Form form) {
     std::string names;
     const auto add = [&](const std::string& name) { names += (names.empty() ? "" : ", ") + name; };
-    for (const Field& f : spec.fields) {
-      if (f.form == form) add(f.name);
+    for (const Field& field : spec.fields) {
+      if (field.form == form) add(field.name);
     }
     if (form == Form::Node) {
-      for (const Block& b : spec.blocks) add(b.name);
+      for (const Block& block : spec.blocks) add(block.name);
     }
     return names.empty() ? "no such entry here" : "one of: " + names;
   }
@@ -222,41 +225,43 @@
   std::vector<Complaint>& errors_;
 };
 
-void writeField(std::ostringstream& out, const std::string& where, const Field& f) {
-  out << "  " << where << (where.empty() ? "" : ".") << f.name << "\n      " << describeExpectedValue(f);
-  if (!f.defaultValue.empty()) out << "; default " << f.defaultValue;
-  if (f.required) out << "; required";
-  if (f.repeatable) out << "; may be repeated";
-  if (!f.description.empty()) out << "\n      " << f.description;
+void writeField(std::ostringstream& out, const std::string& where, const Field& field) {
+  out << "  " << where << (where.empty() ? "" : ".") << field.name << "\n      "
+      << describeExpectedValue(field);
+  if (!field.defaultValue.empty()) out << "; default " << field.defaultValue;
+  if (field.required) out << "; required";
+  if (field.repeatable) out << "; may be repeated";
+  if (!field.description.empty()) out << "\n      " << field.description;
   out << '\n';
 }
 
 void writeBlock(std::ostringstream& out, const std::string& where, const Block& spec) {
-  for (const Field& f : spec.fields) writeField(out, where, f);
-  for (const Block& b : spec.blocks) writeBlock(out, where.empty() ? b.name : where + "." + b.name, b);
+  for (const Field& field : spec.fields) writeField(out, where, field);
+  for (const Block& block : spec.blocks)
+    writeBlock(out, where.empty() ? block.name : where + "." + block.name, block);
 }
 
 }  // namespace
 
-std::string describeExpectedValue(const Field& f) {
-  switch (f.kind) {
+std::string describeExpectedValue(const Field& field) {
+  switch (field.kind) {
     case Kind::Duration:
       return "a duration with its unit (us, ms, s, m, h, d)" +
-             formatRange(f, formatWithUnit(f.min, kDurations), formatWithUnit(f.max, kDurations));
+             formatRange(field, formatWithUnit(field.min, kDurations), formatWithUnit(field.max, kDurations));
     case Kind::Size:
       return "a size with its unit (B, KiB, MiB, GiB)" +
-             formatRange(f, formatWithUnit(f.min, kSizes), formatWithUnit(f.max, kSizes));
+             formatRange(field, formatWithUnit(field.min, kSizes), formatWithUnit(field.max, kSizes));
     case Kind::Count:
-      return "a whole number" + formatRange(f, formatNumber(f.min), formatNumber(f.max));
+      return "a whole number" + formatRange(field, formatNumber(field.min), formatNumber(field.max));
     case Kind::Share:
-      return "a number" + formatRange(f, formatNumber(f.min), formatNumber(f.max));
+      return "a number" + formatRange(field, formatNumber(field.min), formatNumber(field.max));
     case Kind::Flag:
       return "true or false";
     case Kind::Address:
       return "an address of the form \"127.0.0.1:53\"";
     case Kind::Word: {
       std::string words;
-      for (const std::string& w : f.words) words += (words.empty() ? "\"" : ", \"") + w + "\"";
+      for (const std::string& w : field.words) words += (words.empty() ? "\"" : ", \"") + w + "\"";
       return "one of " + words;
     }
     case Kind::Text:
@@ -268,7 +273,8 @@
 Section check(const Block& schema, const kdl::Document& document, std::vector<Complaint>& errors) {
   kdl::Node root;
   root.children = document.nodes;
-  for (const kdl::Problem& p : document.problems) errors.push_back({p.place, "file", p.found, p.expected});
+  for (const kdl::Problem& problem : document.problems)
+    errors.push_back({problem.place, "file", problem.found, problem.expected});
   Section section = Checker(errors).checkBlock(schema, root, "");
   return section;
 }
