--- a/scale/report/arithmetic.py
+++ b/scale/report/arithmetic.py
@@ -1,5 +1,7 @@
-"""The arithmetic of each line of the target list but the failures: from targets and measured figures alone, so that
-another size can be put into scale/targets.json."""
+"""Calculations for each line of the target list except failures (see outages.py).
+
+They use only the targets and measured figures, so that they follow a change of scale/targets.json.
+"""
 
 from __future__ import annotations
 
@@ -24,10 +26,10 @@
     sheet.step("reports a second to a supervisor, whole fleet", f"{s.zones:g} zones x {s.servers:g}", number(reports))
     sheet.step("the same of one service", f"{s.zones:g} x {scoped}", number(s.zones * scoped))
     sheet.step("less by subsetting", f"{s.servers:g} / {scoped}", ratio_text(s.servers / scoped))
-    heard = sheet.figure(rows.REPORTS, rows.FLEET)
-    sheet.measured("bytes a report", f"/ {reports:g}", heard, "bytes_per_s", lambda v: bytes_text(v / reports))
+    reports_in = sheet.figure(rows.REPORTS, rows.FLEET)
+    sheet.measured("bytes a report", f"/ {reports:g}", reports_in, "bytes_per_s", lambda v: bytes_text(v / reports))
     every = f"x {s.supervisors:g}"
-    sheet.measured("reports in, all supervisors", every, heard, "bytes_per_s", lambda v: rate(v * s.supervisors))
+    sheet.measured("reports in, all supervisors", every, reports_in, "bytes_per_s", lambda v: rate(v * s.supervisors))
     for name, scope in (("whole fleet", rows.FLEET), ("one service", rows.SERVICE)):
         cpu = sheet.figure("cpu_share", scope)
         title = f"cores of all supervisors, {name} seen"
@@ -35,7 +37,7 @@
 
 
 def requests(sheet: Sheet) -> None:
-    """Requests a second."""
+    """Requests per second."""
     s = sheet.targets.sizes
     peak = s.requests_per_second
     for name, count in (("server", s.servers), ("route", s.routes), ("tenant", s.tenants)):
@@ -67,7 +69,7 @@
 
 
 def latency(sheet: Sheet) -> None:
-    """What is added to a request."""
+    """Latency added to a request."""
     budget = sheet.targets.budgets.added_latency_p99_s
     sheet.step("budget, 99 in 100", "target", seconds_text(budget))
     sheet.step("added by a supervisor", "not on the path", "0")
@@ -93,12 +95,14 @@
     sheet.step("supervisors a zone, a region", f"{s.supervisors:g} {parts}, rounded up", f"{zone}, {region}")
     machines = f"{s.control_machines:g} {parts}, rounded up, x {s.supervisors_per_machine}"
     lost = f"{s.supervisors_lost_with(s.zones)}, {s.supervisors_lost_with(s.regions)}"
-    sheet.step("the same at most, by whole control machines", machines, lost)
-    told = changes * each
+    sheet.step("the same, upper bound: complete control machines are lost", machines, lost)
+    change_bytes = changes * each
     sheet.step(
-        "list changes when a zone goes, to a supervisor", f"{changes:g} x {each:g} B (assumed)", bytes_text(told)
+        "list changes when a zone is lost, to a supervisor",
+        f"{changes:g} x {each:g} B (assumed)",
+        bytes_text(change_bytes),
     )
-    sheet.step("the same to all supervisors", f"x {s.supervisors:g}", bytes_text(told * s.supervisors))
+    sheet.step("the same to all supervisors", f"x {s.supervisors:g}", bytes_text(change_bytes * s.supervisors))
 
 
 def configuration(sheet: Sheet) -> None:
@@ -110,34 +114,41 @@
         "changes under way at a time", f"{changes:g} x {within:g} s / {DAY_S} s", number(changes * within / DAY_S)
     )
     restarts, usual = changes * s.supervisors, sheet.targets.failures.machines_restarted_per_day
-    sheet.step("restarts a day while each change needs one", f"{changes:g} x {s.supervisors:g}", number(restarts))
-    sheet.step("over the restarts that a day has anyway", f"/ {usual:g}", ratio_text(restarts / usual))
+    sheet.step("restarts a day if each change needs one", f"{changes:g} x {s.supervisors:g}", number(restarts))
+    sheet.step("ratio to the other restarts of a day", f"/ {usual:g}", ratio_text(restarts / usual))
     sheet.step(
         "restarts a second to be done in time", f"{s.supervisors:g} / {within:g} s", number(s.supervisors / within)
     )
     share = f"{b.bytes_per_s:g} B/s x {DAY_S} s / {changes:g}"
     sheet.step(
-        "bytes a change may have, if all of the budget goes on it", share, bytes_text(b.bytes_per_s * DAY_S / changes)
+        "bytes available for a change, if it uses the complete budget",
+        share,
+        bytes_text(b.bytes_per_s * DAY_S / changes),
     )
     tenants = s.tenants * sheet.targets.assumptions.tenant_entry_bytes
-    whole = tenants * changes / DAY_S
+    full_rate = tenants * changes / DAY_S
     sheet.step(
-        "all tenants sent whole with each change",
+        "all tenants sent in full with each change",
         f"{bytes_text(tenants)} (assumed) x {changes:g} / {DAY_S} s",
-        rate(whole),
+        rate(full_rate),
+    )
+    sheet.step("ratio to the budget", f"/ {rate(b.bytes_per_s)}", ratio_text(full_rate / b.bytes_per_s))
+    sheet.step(
+        "tenants of one service sent in full with each change",
+        f"/ {s.services:g}",
+        rate(full_rate / s.services),
     )
-    sheet.step("the same over the budget", f"/ {rate(b.bytes_per_s)}", ratio_text(whole / b.bytes_per_s))
-    sheet.step("tenants of one service sent whole with each change", f"/ {s.services:g}", rate(whole / s.services))
     for name, metric in (
         ("a change of the list", "time_to_force_worst_s"),
         ("a reload of addresses", "time_to_reload_worst_s"),
     ):
         worst = sheet.figure(metric, rows.SUPERVISORS)
-        sheet.measured(f"time until {name} is with every supervisor, worst", "hollow fleet", worst, "s", seconds_text)
+        title = f"time until {name} has reached every supervisor, worst"
+        sheet.measured(title, "simulated fleet", worst, "s", seconds_text)
 
 
 def control(sheet: Sheet) -> None:
-    """What control may spend."""
+    """Resources that the supervisors may use."""
     s, b = sheet.targets.sizes, sheet.targets.budgets
     each, left = s.supervisors / s.control_machines, s.control_machines - 1
 
@@ -154,8 +165,10 @@
     sheet.step("budget of all supervisors", f"x {s.supervisors:g}", machine(s.supervisors))
     for name, scope in (("whole fleet", rows.FLEET), ("one service", rows.SERVICE)):
         cpu, memory = sheet.figure("cpu_share", scope), sheet.figure("resident_bytes", scope)
-        reckoning = f"x {number(each)}"
-        sheet.measured(f"cores of a control machine, {name} seen", reckoning, cpu, "share", lambda v: number(v * each))
+        calculation = f"x {number(each)}"
+        sheet.measured(
+            f"cores of a control machine, {name} seen", calculation, cpu, "share", lambda v: number(v * each)
+        )
         sheet.measured(
-            f"memory of a control machine, {name} seen", reckoning, memory, "bytes", lambda v: bytes_text(v * each)
+            f"memory of a control machine, {name} seen", calculation, memory, "bytes", lambda v: bytes_text(v * each)
         )
--- a/scale/report/capacity.py
+++ b/scale/report/capacity.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
 """Rewrites the generated tables of docs/CAPACITY.md from scale/targets.json and scale/results/*.jsonl.
 
-With ``--check`` nothing is written: exit code 1 and the names of the tables in which page and results differ.
-What cannot be read (a result, the targets, the page's markers) ends it with exit code 2 and a line that says where.
+With ``--check`` it writes nothing, prints the name of each table that differs from the results, and exits with code 1
+if there is one. If a result, the targets or the markers of the page cannot be read, it prints the location and exits
+with code 2.
 """
 
 from __future__ import annotations
@@ -29,20 +30,20 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Returns the exit code."""
+    """Runs the command and returns its exit code."""
     options = _options(arguments)
     try:
         text = options.page.read_text(encoding="utf-8")
-        made = tables.all_tables(targets.load(options.targets), results.load(options.results))
-        differing = page.differing(text, made)
+        generated = tables.all_tables(targets.load(options.targets), results.load(options.results))
+        differing = page.differing(text, generated)
         if options.check:
             for name in differing:
                 print(f"{options.page}: table '{name}' differs from the results", file=sys.stderr)
             return 1 if differing else 0
-        options.page.write_text(page.rewrite(text, made), encoding="utf-8")
-        print(f"{options.page}: {len(differing)} of {len(made)} tables rewritten")
+        options.page.write_text(page.rewrite(text, generated), encoding="utf-8")
+        print(f"{options.page}: {len(differing)} of {len(generated)} tables rewritten")
         return 0
-    except (targets.WrongTargets, results.WrongResult, page.WrongPage, OSError) as error:
+    except (targets.InvalidTargets, results.InvalidResult, page.InvalidPage, OSError) as error:
         print(f"capacity: {error}", file=sys.stderr)
         return 2
 
--- a/scale/report/format.py
+++ b/scale/report/format.py
@@ -1,4 +1,4 @@
-"""Figures as the page shows them: three significant digits, thousands parted, the unit from the metric's name."""
+"""Formats figures for the page: three significant digits, thousands separators, unit by the name of the metric."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from typing import Sequence
 
 NOT_MEASURED = "not measured"
-_LEAST_RATIO = 0.001  # smaller ones are shown as less than this
+_MIN_RATIO = 0.001  # smaller ratios are shown as "<0.001x"
 _SUFFIXES = ("_bytes_per_s", "_bytes", "_share", "_ns", "_per_s", "_s")
 
 
 def unit_of(metric: str) -> str:
-    """The unit that a metric's name ends in, or "" for a count."""
+    """Returns the unit at the end of a metric name, or "" for a count."""
     for suffix in _SUFFIXES:
         if metric.endswith(suffix):
             return suffix[1:]
@@ -19,7 +19,7 @@
 
 
 def plain(value: float) -> str:
-    """A number with three significant digits; whole ones of up to nine digits are shown in full."""
+    """Formats a number with three significant digits; integers of up to nine digits are shown in full."""
     if value == int(value) and abs(value) < 1e9:
         return f"{int(value):,}"
     if abs(value) >= 100:
@@ -29,30 +29,30 @@
 
 
 def _scaled(value: float, units: tuple[tuple[float, str], ...]) -> str:
-    for least, name in units:
-        if abs(value) >= least:
-            return f"{plain(float(f'{value / least:.3g}'))} {name}"
-    least, name = units[-1]
-    return f"{plain(float(f'{value / least:.3g}'))} {name}"
+    for factor, name in units:
+        if abs(value) >= factor:
+            return f"{plain(float(f'{value / factor:.3g}'))} {name}"
+    factor, name = units[-1]
+    return f"{plain(float(f'{value / factor:.3g}'))} {name}"
 
 
 def bytes_text(value: float) -> str:
-    """Bytes in powers of a thousand."""
+    """Formats bytes, with decimal prefixes (KB, MB, GB)."""
     return _scaled(value, ((1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1, "B")))
 
 
 def seconds_text(value: float) -> str:
-    """Seconds, or a part of them."""
+    """Formats a time in seconds, with s, ms, us or ns as the unit."""
     return _scaled(value, ((1, "s"), (1e-3, "ms"), (1e-6, "us"), (1e-9, "ns")))
 
 
 def share_text(value: float) -> str:
-    """A share as hundredths."""
+    """Formats a share as a percentage."""
     return f"{value * 100:.3g}%"
 
 
 def quantity(value: float, unit: str) -> str:
-    """A value with its unit, as unit_of names it."""
+    """Formats a value with its unit; ``unit`` is a result of unit_of."""
     if unit == "bytes":
         return bytes_text(value)
     if unit == "bytes_per_s":
@@ -69,13 +69,13 @@
 
 
 def ratio_text(value: float) -> str:
-    """How many times the budget, two digits."""
-    if 0 < value < _LEAST_RATIO:
-        return f"<{_LEAST_RATIO:g}x"
+    """Formats a ratio with two significant digits."""
+    if 0 < value < _MIN_RATIO:
+        return f"<{_MIN_RATIO:g}x"
     return f"{float(f'{value:.2g}'):,g}x"
 
 
 def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """A Markdown table."""
+    """Formats a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(cells) + " |" for cells in lines)
--- a/scale/report/judge.py
+++ b/scale/report/judge.py
@@ -1,4 +1,4 @@
-"""Rows with their figures and verdicts, and the order of what is red."""
+"""Compares the rows with their budgets and ranks what is red."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from format import plain, quantity, ratio_text, unit_of
 from lookup import find
 from results import Result
-from rows import GAPS, LINES, PROPERTY_PREFIXES, REMEDIES, ROWS, SCENARIO_BUDGETS, SHOWN, Gap, Line, Row
+from rows import DISPLAYED_METRICS, GAPS, LINES, PROPERTY_PREFIXES, REMEDIES, ROWS, SCENARIO_BUDGETS, Gap, Line, Row
 from targets import Targets
 
-NANOSECONDS = 1e9  # of a second
+NANOSECONDS = 1e9  # per second
 
 
 class Verdict(enum.Enum):
-    """A figure beside its budget; its whole range counts (runs, or the error of an extrapolation)."""
+    """The comparison of a figure with its budget, by its complete range (of the runs, or the error of a fit)."""
 
-    RED = "**RED**"  # over the budget
-    UNSURE = "unsure"  # the range holds the budget
+    RED = "**RED**"  # the complete range is over the budget
+    UNSURE = "unsure"  # the budget lies within the range
     OK = "ok"
     NONE = "not measured"
     NO_BUDGET = "no budget"
 
 
 def in_unit(budget: float, unit: str) -> float:
-    """A budget in the unit of a metric: times stand in seconds."""
+    """Converts a budget to the unit of a metric; budgets of time are in seconds."""
     return budget * NANOSECONDS if unit == "ns" else budget
 
 
 def judge(figure: Figure, budget: Optional[float]) -> Verdict:
-    """The verdict; ``budget`` in the figure's unit, or None."""
+    """Returns the verdict; ``budget`` is in the unit of the figure, or None if there is no budget."""
     if budget is None:
         return Verdict.NO_BUDGET
     if not figure.known:
@@ -43,83 +43,83 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Judged:
-    """A row at its size: what was found in one scenario."""
+class EvaluatedRow:
+    """A row with its figure from one scenario, at the size of the row."""
 
     row: Row
     scenario: str
     figure: Figure
     unit: str
-    budget: Optional[float]  # in that unit
+    budget: Optional[float]  # in ``unit``
 
     @property
     def verdict(self) -> Verdict:
-        """Beside the budget."""
+        """The verdict of the figure against the budget."""
         return judge(self.figure, self.budget)
 
     @property
     def ratio(self) -> Optional[float]:
-        """Figure over budget; None where either is not there."""
+        """Figure divided by budget; None if either is missing."""
         if self.budget is None or not self.figure.known:
             return None
         return self.figure.value / self.budget
 
     @property
     def ratio_cell(self) -> str:
-        """The ratio as a cell."""
+        """The ratio, formatted for a table cell."""
         return "" if self.ratio is None else ratio_text(self.ratio)
 
     @property
     def budget_cell(self) -> str:
-        """The budget as a cell."""
+        """The budget, formatted for a table cell."""
         return "none stated" if self.budget is None else quantity(self.budget, self.unit)
 
     @property
     def name(self) -> str:
-        """The row by its quantity and size."""
+        """The name of the row: quantity and size."""
         return f"{self.row.quantity}, {self.row.scope.name}"
 
 
-def judge_row(row: Row, measurements: Measurements, targets: Targets) -> list[Judged]:
-    """A row once for each scenario that tells it; once without a figure where none does."""
+def evaluate_row(row: Row, measurements: Measurements, targets: Targets) -> list[EvaluatedRow]:
+    """Evaluates a row once for each scenario that has its metrics; once without a figure if none has."""
     unit = unit_of(row.metrics[0])
     budget = in_unit(targets.budget(row.budget), unit) if row.budget else None
     judged = []
     found = find(measurements, targets, row.source_role or row.role, row.metrics, row.scope)
     for scenario, figure in found or [("", Figure(Basis.NONE))]:
         if row.members is not None:
-            figure = figure.times(row.members.count(targets), row.members.reckoning(targets))
-        judged.append(Judged(row, scenario, figure, unit, budget))
+            figure = figure.times(row.members.count(targets), row.members.calculation(targets))
+        judged.append(EvaluatedRow(row, scenario, figure, unit, budget))
     return judged
 
 
-def judge_all(measurements: Measurements, targets: Targets) -> list[Judged]:
-    """All rows, in their order."""
-    return [judged for row in ROWS for judged in judge_row(row, measurements, targets)]
+def evaluate_all(measurements: Measurements, targets: Targets) -> list[EvaluatedRow]:
+    """Evaluates all rows, in the order of ROWS."""
+    return [judged for row in ROWS for judged in evaluate_row(row, measurements, targets)]
 
 
 @dataclasses.dataclass(frozen=True)
 class ScenarioRow:
     """A metric of a scale test at one size, over its repetitions."""
 
-    first: Result  # of the repetitions, which are alike but for their figures
+    first: Result  # of the repetitions, which differ only in their figures
     metric: str
     figure: Figure
-    budget: Optional[float]  # in the metric's unit
+    budget: Optional[float]  # in the unit of the metric
 
     @property
     def unit(self) -> str:
-        """By the metric's name."""
+        """The unit, from the name of the metric."""
         return unit_of(self.metric)
 
     @property
     def verdict(self) -> Verdict:
-        """Beside the budget."""
+        """The verdict of the figure against the budget."""
         return judge(self.figure, self.budget)
 
     @property
     def ratio(self) -> Optional[float]:
-        """Figure over budget; None without one."""
+        """Figure divided by budget; None without a budget."""
         return None if self.budget is None else self.figure.value / self.budget
 
 
@@ -130,16 +130,16 @@
     return in_unit(targets.budget(rule.budget), unit_of(metric))
 
 
-def _shown(result: Result, metric: str) -> bool:
-    return metric.startswith(PROPERTY_PREFIXES) or (not result.variable and metric in SHOWN)
+def _is_displayed(result: Result, metric: str) -> bool:
+    return metric.startswith(PROPERTY_PREFIXES) or (not result.variable and metric in DISPLAYED_METRICS)
 
 
-def _idle(result: Result, values: Sequence[float]) -> bool:
+def _is_idle(result: Result, values: Sequence[float]) -> bool:
     return bool(result.variable) and not any(values)
 
 
 def scenario_rows(measurements: Measurements, targets: Targets) -> list[ScenarioRow]:
-    """The properties of all scale tests, in the order of the results."""
+    """Returns the displayed metrics of all scale tests, in the order of the results."""
     groups: dict[tuple[object, ...], list[Result]] = {}
     for result in measurements.results:
         key = (result.scenario, result.revision, result.role, result.variable, result.value)
@@ -149,7 +149,7 @@
         first = lines[0]
         for metric in dict.fromkeys(metric for line in lines for metric in line.metrics):
             values = [line.metrics[metric] for line in lines if metric in line.metrics]
-            if not _shown(first, metric) or _idle(first, values):
+            if not _is_displayed(first, metric) or _is_idle(first, values):
                 continue
             note = spread(values, unit_of(metric))
             figure = Figure(Basis.MEASURED, note, sum(values) / len(values), min(values), max(values))
@@ -159,7 +159,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Red:
-    """Something red: a row over its budget, or a gap."""
+    """A red entry of the ranking: a row over its budget, or a missing capability."""
 
     what: str
     role: str
@@ -171,7 +171,7 @@
     blocks: tuple[str, ...]
 
 
-def _of_row(judged: Judged) -> Red:
+def _of_row(judged: EvaluatedRow) -> Red:
     row = judged.row
     basis = judged.figure.basis.value
     figure = quantity(judged.figure.value, judged.unit)
@@ -180,24 +180,25 @@
 
 def _of_gap(gap: Gap, targets: Targets) -> Red:
     if gap.figure is None or gap.budget is None:
-        return Red(gap.what, gap.role, "absent", "must be there", "read in the code", None, gap.remedy, gap.blocks)
+        return Red(gap.what, gap.role, "absent", "must exist", "inspection of the code", None, gap.remedy, gap.blocks)
     figure, budget = gap.figure(targets), gap.budget(targets)
-    cells = (f"{plain(figure)} {gap.unit}", f"{plain(budget)} {gap.unit}", Basis.RECKONED.value)
+    cells = (f"{plain(figure)} {gap.unit}", f"{plain(budget)} {gap.unit}", Basis.CALCULATED.value)
     return Red(gap.what, gap.role, *cells, figure / budget, gap.remedy, gap.blocks)
 
 
 def _of_scenario(one: ScenarioRow) -> Red:
     what = f"{one.metric} of {one.first.scenario}"
     budget = one.budget
-    assert budget is not None  # a verdict of red has one
+    assert budget is not None  # a RED verdict implies a budget
     cells = (quantity(one.figure.value, one.unit), quantity(budget, one.unit), Basis.MEASURED.value)
     rule = SCENARIO_BUDGETS[one.metric]
     return Red(what, one.first.role, *cells, one.ratio, rule.remedy, rule.blocks)
 
 
-def reds(judged: Sequence[Judged], scenarios: Sequence[ScenarioRow], targets: Targets) -> list[Red]:
-    """All that is red, the greatest ratio first, then what has none, by the lines that it blocks. Of scale tests
-    only their properties count here; what a role spends counts by its rows at the target's size."""
+def reds(judged: Sequence[EvaluatedRow], scenarios: Sequence[ScenarioRow], targets: Targets) -> list[Red]:
+    """Returns all red entries, the largest ratio first; entries without a ratio follow, by the number of lines that
+    they block. Of scale tests only the properties are ranked: the resource usage of a role is ranked by its rows, at
+    the target size."""
     found = [_of_row(one) for one in judged if one.verdict is Verdict.RED]
     found += [
         _of_scenario(one)
@@ -210,45 +211,45 @@
 
 @dataclasses.dataclass(frozen=True)
 class Remedy:
-    """A missing mechanism and what it would mend."""
+    """A missing mechanism and the red entries that it would resolve."""
 
     name: str
     red: tuple[Red, ...]
 
     @property
     def worst(self) -> Optional[float]:
-        """The greatest ratio."""
+        """The largest ratio; None if no entry has one."""
         return max((red.ratio for red in self.red if red.ratio is not None), default=None)
 
     @property
     def blocked(self) -> tuple[str, ...]:
-        """Titles of the target's lines that it holds up, in their order."""
+        """Titles of the lines of the target list that the mechanism blocks, in the order of the list."""
         keys = {key for red in self.red for key in red.blocks}
         return tuple(line.title for line in LINES if line.key in keys)
 
 
 def remedies(red: Sequence[Red]) -> list[Remedy]:
-    """The mechanisms that red rows lack: the most lines blocked first, then the greatest ratio."""
+    """Returns the mechanisms that red entries lack, by the number of blocked lines, then by the largest ratio."""
     found = []
     for key, name in REMEDIES.items():
-        mended = tuple(one for one in red if one.remedy == key)
-        if mended:
-            found.append(Remedy(name, mended))
+        resolved = tuple(one for one in red if one.remedy == key)
+        if resolved:
+            found.append(Remedy(name, resolved))
     return sorted(found, key=lambda remedy: (-len(remedy.blocked), -(remedy.worst or 0), remedy.name))
 
 
 @dataclasses.dataclass(frozen=True)
 class LineStatus:
-    """A line of the target list at a sight."""
+    """The state of a line of the target list."""
 
     line: Line
     verdict: Verdict
-    worst: str  # by name, with its ratio
-    open_rows: int  # not measured
+    worst: str  # name and ratio of its worst row
+    open_rows: int  # number of rows that are not measured
 
 
-def line_status(line: Line, judged: Sequence[Judged], red: Sequence[Red]) -> LineStatus:
-    """RED with anything red that blocks it, else not measured, else unsure or ok."""
+def line_status(line: Line, judged: Sequence[EvaluatedRow], red: Sequence[Red]) -> LineStatus:
+    """Returns RED if a red entry blocks the line, else not measured if a row lacks a figure, else unsure or ok."""
     own = [one for one in judged if line.key in one.row.blocks]
     unmeasured = sum(one.verdict is Verdict.NONE for one in own)
     blocking = [one for one in red if line.key in one.blocks]
@@ -258,7 +259,7 @@
         return LineStatus(line, Verdict.RED, f"{worst.what} ({worst.role}): {ratio}", unmeasured)
     known = [one for one in own if one.ratio is not None]
     if unmeasured or not known:
-        return LineStatus(line, Verdict.NONE, "" if own else "no row bears on it, see its section", unmeasured)
+        return LineStatus(line, Verdict.NONE, "" if own else "no row covers it, see its section", unmeasured)
     last = max(known, key=lambda one: one.ratio or 0)
     unsure = any(one.verdict is Verdict.UNSURE for one in known)
     verdict = Verdict.UNSURE if unsure else Verdict.OK
--- a/scale/report/outages.py
+++ b/scale/report/outages.py
@@ -1,4 +1,4 @@
-"""The arithmetic of failures: ordinary days, and many supervisors that come back at once."""
+"""Calculations for failures: ordinary days, and many supervisors that reconnect at once."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def failures(sheet: Sheet) -> None:
-    """Ordinary days, in shares of time; the worst case is reckoned with, that all restarts are supervisors'."""
+    """Failures of ordinary days, as shares of time. Assumes the worst case, that all restarts are of supervisors."""
     f, a, s = sheet.targets.failures, sheet.targets.assumptions, sheet.targets.sizes
     restarts, failed, within = (
         f.machines_restarted_per_day,
@@ -38,7 +38,7 @@
     )
     listed = failed * a.list_told_s / DAY_S
     sheet.step(
-        "time in which some failed server is listed still",
+        "time in which some failed server is still listed",
         f"{failed:g} x {a.list_told_s:g} s / {DAY_S} s",
         share_text(listed),
     )
@@ -46,35 +46,41 @@
     sheet.step(
         "list changes a day", f"({restarts:g} + {failed:g}) x {a.list_changes_per_restart:g} (assumed)", number(changes)
     )
-    told = changes * a.list_entry_bytes / DAY_S
-    sheet.step("list changes to one supervisor", f"x {a.list_entry_bytes:g} B (assumed) / {DAY_S} s", rate(told))
+    change_bytes = changes * a.list_entry_bytes / DAY_S
+    sheet.step(
+        "list changes to one supervisor", f"x {a.list_entry_bytes:g} B (assumed) / {DAY_S} s", rate(change_bytes)
+    )
 
 
 def reconnect(sheet: Sheet) -> None:
-    """Many watches that come back at once to a discovery that serves calls one after another."""
+    """Many watches that reconnect at once to a discovery service that handles calls one after another."""
     s, within = sheet.targets.sizes, sheet.targets.budgets.time_to_force_s
-    whole, service = sheet.figure("first_list_bytes", rows.FLEET), sheet.figure("first_list_bytes", rows.SERVICE)
+    full_list, service = sheet.figure("first_list_bytes", rows.FLEET), sheet.figure("first_list_bytes", rows.SERVICE)
     for name, count in (
         ("a control machine", s.supervisors_per_machine),
-        ("a zone, by whole control machines", s.supervisors_lost_with(s.zones)),
-        ("a region, by whole control machines", s.supervisors_lost_with(s.regions)),
+        ("a zone, complete control machines", s.supervisors_lost_with(s.zones)),
+        ("a region, complete control machines", s.supervisors_lost_with(s.regions)),
         ("all", math.ceil(s.supervisors)),
     ):
-        sheet.measured(f"whole lists, supervisors of {name}", f"x {count}", whole, "bytes", _bytes_of(count))
+        sheet.measured(f"full lists, supervisors of {name}", f"x {count}", full_list, "bytes", _bytes_of(count))
     bits = s.supervisors * BITS / within / MEGA
-    title = "way that carries all lists in the budget of a change"
+    title = "bandwidth that carries all lists within the budget of a change"
     sheet.measured(
-        title, f"x {s.supervisors:g} x {BITS} / {within:g} s", whole, "bytes", lambda v: f"{number(v * bits)} Mbit/s"
+        title,
+        f"x {s.supervisors:g} x {BITS} / {within:g} s",
+        full_list,
+        "bytes",
+        lambda v: f"{number(v * bits)} Mbit/s",
     )
     every = _bytes_of(s.supervisors)
     sheet.measured("all lists, one service each (if scoped)", f"x {s.supervisors:g}", service, "bytes", every)
     _resumed(sheet)
     for name, limit in (
-        ("the first line's limit", sheet.targets.assumptions.first_line_s),
-        ("the bound of a told change", sheet.targets.assumptions.list_told_s),
+        ("the limit for the first line", sheet.targets.assumptions.first_line_s),
+        ("the limit for an announced change", sheet.targets.assumptions.list_told_s),
         ("the budget of a change", within),
     ):
-        title = f"time that a call may take, the last of all within {name}"
+        title = f"time available for a call, so that the last ends within {name}"
         sheet.step(title, f"{limit:g} s / {s.supervisors:g}", seconds_text(limit / s.supervisors))
 
 
@@ -83,10 +89,18 @@
     missed = f.machines_restarted_per_day * f.region_cut_minutes * MINUTE_S / DAY_S * a.list_changes_per_restart
     size = missed * a.list_entry_bytes
     restarts = f"{f.machines_restarted_per_day:g} restarts a day x {a.list_changes_per_restart:g}"
-    sheet.step("list changes missed in a cut", f"{f.region_cut_minutes:g} min of {restarts}", number(missed))
+    sheet.step(
+        "list changes missed while a region is cut off", f"{f.region_cut_minutes:g} min of {restarts}", number(missed)
+    )
     sheet.step("bytes of these, resumed by revision", f"x {a.list_entry_bytes:g} B (assumed)", bytes_text(size))
-    whole = sheet.figure("first_list_bytes", rows.FLEET)
-    sheet.measured("whole list over that", f"/ {bytes_text(size)}", whole, "bytes", lambda v: ratio_text(v / size))
+    full_list = sheet.figure("first_list_bytes", rows.FLEET)
+    sheet.measured(
+        "ratio of the full list to these bytes",
+        f"/ {bytes_text(size)}",
+        full_list,
+        "bytes",
+        lambda v: ratio_text(v / size),
+    )
 
 
 def _bytes_of(count: float) -> Callable[[float], str]:
--- a/scale/report/results.py
+++ b/scale/report/results.py
@@ -1,8 +1,8 @@
-"""Measured results: scale/results/*.jsonl, one JSON object a line, one line a repetition.
+"""Measured results: scale/results/*.jsonl, one JSON object per line, one line per repetition.
 
-Every metric is the mean of one member of the role, its unit in its name (``_s``, ``_ns``, ``_bytes``,
-``_bytes_per_s``, ``_share`` of one core; else a count). What is not of this form is refused with file, line and
-what was expected: a page must not rest on a line that was read by half.
+Every metric is the mean of one member of the role; its name ends in its unit (``_s``, ``_ns``, ``_bytes``,
+``_bytes_per_s``, ``_share`` of one core; otherwise it is a count). A malformed line is rejected with file, line and the
+expected form, so that the page never uses part of a line.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 ROLES = ("supervisor", "discovery", "relay", "collector", "proxy", "configuration")
 _NAME = re.compile(r"[a-z][a-z0-9_]*\Z")
 _VARIABLE = re.compile(r"[a-z][a-z0-9_-]*\Z")
-_SCENARIO = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.,+/ -]*\Z")  # stands in a cell of a table
+_SCENARIO = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.,+/ -]*\Z")  # must fit into a table cell
 _REVISION = re.compile(r"[0-9a-f]{7,40}(-dirty)?\Z")
 
 
-class WrongResult(Exception):
-    """A line that is no result; the message names file, line and what was expected."""
+class InvalidResult(Exception):
+    """A line is not a valid result; the message names the file, the line and what was expected."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Machine:
-    """Where it was measured."""
+    """The machine that ran the measurement."""
 
     cores: float
     memory_mb: float
@@ -37,12 +37,12 @@
 class Result:
     """One repetition of one member of a role at one size."""
 
-    source: str  # file and line
+    source: str  # file name and line number
     revision: str
     machine: Machine
     scenario: str
     role: str
-    variable: str  # swept; "" where nothing was
+    variable: str  # the swept variable; "" if the test swept none
     value: float
     repetition: int
     seed: int
@@ -55,35 +55,35 @@
 
 
 class _Line:
-    """The fields of one line, each checked as it is taken."""
+    """The fields of one line; each accessor checks the field that it returns."""
 
     def __init__(self, values: Mapping[str, Any], where: str) -> None:
         self.values = values
         self.where = where
 
-    def wrong(self, field: str, expected: str) -> WrongResult:
+    def invalid(self, field: str, expected: str) -> InvalidResult:
         got = self.values.get(field)
-        return WrongResult(f"{self.where}: '{field}' is {got!r}, expected {expected}")
+        return InvalidResult(f"{self.where}: '{field}' is {got!r}, expected {expected}")
 
-    def text(self, field: str, form: re.Pattern[str], expected: str) -> str:
+    def text(self, field: str, pattern: re.Pattern[str], expected: str) -> str:
         value = self.values[field]
-        if not isinstance(value, str) or not form.match(value):
-            raise self.wrong(field, expected)
+        if not isinstance(value, str) or not pattern.match(value):
+            raise self.invalid(field, expected)
         return value
 
     def number(self, field: str, whole: bool = False) -> float:
         value = self.values[field]
         if not _is_number(value) or (whole and value != int(value)):
-            raise self.wrong(field, "a whole number from 0" if whole else "a number from 0")
+            raise self.invalid(field, "a whole number from 0" if whole else "a number from 0")
         return float(value)
 
     def numbers(self, field: str) -> dict[str, float]:
         table = self.values[field]
         if not isinstance(table, dict) or not table:
-            raise self.wrong(field, "an object of numbers")
+            raise self.invalid(field, "an object of numbers")
         for name, value in table.items():
             if not _NAME.match(name) or not _is_number(value):
-                raise WrongResult(
+                raise InvalidResult(
                     f"{self.where}: '{field}.{name}' is {value!r}, expected a lower-case name with a number from 0"
                 )
         return dict(table)
@@ -94,28 +94,28 @@
 
 
 def parse_line(text: str, where: str) -> Result:
-    """One line. Raises WrongResult, which names ``where``."""
+    """Parses one line. Raises InvalidResult with ``where`` in its message."""
     try:
         values = json.loads(text)
     except ValueError as error:
-        raise WrongResult(f"{where}: no JSON ({error}), expected one object a line") from error
+        raise InvalidResult(f"{where}: no JSON ({error}), expected one object per line") from error
     if not isinstance(values, dict):
-        raise WrongResult(f"{where}: expected a JSON object")
+        raise InvalidResult(f"{where}: expected a JSON object")
     for field in _FIELDS:
         if field not in values:
-            raise WrongResult(f"{where}: '{field}' is missing, expected {', '.join(_FIELDS)}")
+            raise InvalidResult(f"{where}: '{field}' is missing, expected {', '.join(_FIELDS)}")
     for field in values:
         if field not in _FIELDS:
-            raise WrongResult(f"{where}: '{field}' is not known, expected {', '.join(_FIELDS)}")
+            raise InvalidResult(f"{where}: '{field}' is not known, expected {', '.join(_FIELDS)}")
     line = _Line(values, where)
     if values["role"] not in ROLES:
-        raise line.wrong("role", f"one of {', '.join(ROLES)}")
+        raise line.invalid("role", f"one of {', '.join(ROLES)}")
     machine = line.numbers("machine")
     if set(machine) != {"cores", "memory_mb"}:
-        raise line.wrong("machine", "cores and memory_mb")
+        raise line.invalid("machine", "cores and memory_mb")
     variable = values["variable"]
     if variable != "":
-        line.text("variable", _VARIABLE, "a lower-case name or nothing")
+        line.text("variable", _VARIABLE, "a lower-case name or an empty string")
     result = Result(
         where,
         line.text("revision", _REVISION, "the short hash of a commit"),
@@ -131,12 +131,12 @@
         line.numbers("metrics"),
     )
     if variable in result.sizes and result.sizes[variable] != result.value:
-        raise line.wrong("value", f"that of 'sizes.{variable}', {result.sizes[variable]}")
+        raise line.invalid("value", f"the value of 'sizes.{variable}', {result.sizes[variable]}")
     return result
 
 
 def load(folder: Path) -> list[Result]:
-    """All results of a folder, files by name, lines in order; empty lines are passed over. Raises WrongResult."""
+    """Reads all results of a folder, in the order of file names and lines. Skips empty lines. Raises InvalidResult."""
     found = []
     for path in sorted(folder.glob("*.jsonl")):
         for number, text in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
--- a/scale/report/sheet.py
+++ b/scale/report/sheet.py
@@ -1,4 +1,4 @@
-"""A sheet of arithmetic: steps that reckon with targets and measured figures, and say with what."""
+"""A sheet of calculations: steps that combine targets and measured figures and show their inputs."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 DAY_S = 86400
 HOUR_S = 3600
 MINUTE_S = 60
-BITS = 8  # of a byte
+BITS = 8  # per byte
 
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One row of a section's arithmetic."""
+    """One row of the calculations of a section."""
 
     quantity: str
-    reckoning: str
+    calculation: str
     result: str
 
 
 def number(value: float) -> str:
-    """A number with three digits."""
+    """Formats a number with three significant digits."""
     return plain(value) if value == int(value) else plain(float(f"{value:.3g}"))
 
 
 def rate(value: float) -> str:
-    """Bytes a second."""
+    """Formats a rate in bytes per second."""
     return f"{bytes_text(value)}/s"
 
 
@@ -45,16 +45,16 @@
         self.steps: list[Step] = []
 
     def figure(self, metric: str, scope: Scope, role: str = "supervisor") -> Figure:
-        """The worst measured figure of a role at a scope's size."""
+        """Returns the largest figure of a role at the size of a scope."""
         return worst(self.measurements, self.targets, role, metric, scope)
 
-    def step(self, name: str, reckoning: str, result: str) -> None:
-        """A step that rests on targets alone."""
-        self.steps.append(Step(name, reckoning, result))
+    def step(self, name: str, calculation: str, result: str) -> None:
+        """Adds a step that uses only the targets."""
+        self.steps.append(Step(name, calculation, result))
 
-    def measured(self, name: str, reckoning: str, figure: Figure, unit: str, show: Callable[[float], str]) -> None:
-        """A step that rests on a figure, on whose value ``show`` reckons; without one it says not measured."""
+    def measured(self, name: str, calculation: str, figure: Figure, unit: str, show: Callable[[float], str]) -> None:
+        """Adds a step that applies ``show`` to the value of a figure; without a value the result is "not measured"."""
         if not figure.known:
-            return self.step(name, reckoning, figure.text(unit))
+            return self.step(name, calculation, figure.text(unit))
         mark = " (extrapolated)" if figure.basis is Basis.EXTRAPOLATED else ""
-        self.step(name, f"{reckoning}, with {quantity(figure.value, unit)}", show(figure.value) + mark)
+        self.step(name, f"{calculation}, with {quantity(figure.value, unit)}", show(figure.value) + mark)
--- a/scale/report/tables.py
+++ b/scale/report/tables.py
@@ -1,4 +1,4 @@
-"""All generated tables of the page, by name."""
+"""Builds all generated tables of the page, by name."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import rows
 from figures import Basis, Measurements, Series, growth, points
 from format import NOT_MEASURED, bytes_text, plain, quantity, ratio_text, share_text, table, unit_of
-from judge import Judged, Red, ScenarioRow, judge_all, line_status, reds, remedies, scenario_rows
+from judge import EvaluatedRow, Red, ScenarioRow, evaluate_all, line_status, reds, remedies, scenario_rows
 from results import ROLES, Result
 from sheet import Sheet, Step
 from targets import Targets
@@ -29,7 +29,7 @@
 }
 
 
-def _summary(judged: Sequence[Judged], red: Sequence[Red]) -> str:
+def _summary(judged: Sequence[EvaluatedRow], red: Sequence[Red]) -> str:
     body = []
     for line in rows.LINES:
         status = line_status(line, judged, red)
@@ -38,7 +38,7 @@
     return table(("line of the target list", "state", "worst", "rows not measured"), body)
 
 
-def _role(role: str, judged: Sequence[Judged]) -> str:
+def _role(role: str, judged: Sequence[EvaluatedRow]) -> str:
     head = ("kind", "quantity", "size", "figure", "basis", "budget", "ratio", "state", "mechanism")
     body = []
     for one in judged:
@@ -53,7 +53,7 @@
     return table(head, body)
 
 
-def _streams(judged: Sequence[Judged]) -> str:
+def _streams(judged: Sequence[EvaluatedRow]) -> str:
     wanted: list[tuple[str, tuple[str, ...]]] = [(name, (metric,)) for name, metric in rows.STREAMS.items()]
     wanted += [("**all that it sends**", rows.SENT), ("**all that it sends and receives**", rows.SENT_AND_RECEIVED)]
     quantities = {"list": "list in", "news": "news in", "orders": "orders out", "reports": "reports in"}
@@ -88,33 +88,34 @@
         worst = "none" if remedy.worst is None else ratio_text(remedy.worst)
         what = "; ".join(dict.fromkeys(one.what for one in remedy.red))
         body.append((str(place), remedy.name, str(len(remedy.blocked)), "; ".join(remedy.blocked), worst, what))
-    return table(("", "missing mechanism", "lines held up", "which", "worst ratio", "red that it would mend"), body)
+    head = ("", "missing mechanism", "lines blocked", "which", "worst ratio", "red entries that it would resolve")
+    return table(head, body)
 
 
 def _sizes_text(result: Result) -> str:
-    told = [name for name in rows.TOLD_SIZES if result.sizes.get(name)]
-    return ", ".join(f"{plain(result.sizes[name])} {name}" for name in told)
+    displayed = [name for name in rows.DISPLAYED_SIZES if result.sizes.get(name)]
+    return ", ".join(f"{plain(result.sizes[name])} {name}" for name in displayed)
 
 
-def _extrapolated(judged: Sequence[Judged]) -> str:
+def _extrapolated(judged: Sequence[EvaluatedRow]) -> str:
     body = []
     for one in judged:
         if one.figure.basis is Basis.EXTRAPOLATED:
             cells = (one.row.role, one.name, one.figure.text(one.unit), one.figure.note, one.scenario)
             body.append(cells + (one.verdict.value,))
     if not body:
-        return "Nothing."
+        return "None."
     return table(("role", "row", "figure", "from", "test", "state"), body)
 
 
-def _not_measured(judged: Sequence[Judged]) -> str:
+def _not_measured(judged: Sequence[EvaluatedRow]) -> str:
     body = []
     for one in judged:
         if not one.figure.known:
             body.append((one.row.role, one.name, one.budget_cell, one.figure.note))
     if not body:
-        return "Nothing."
-    return table(("role", "row", "budget", "what there is"), body)
+        return "None."
+    return table(("role", "row", "budget", "available measurements"), body)
 
 
 def _scenarios(found: Sequence[ScenarioRow]) -> str:
@@ -132,18 +133,18 @@
     return table(("test", "revision", "role", "size", "property", "figure", "budget", "ratio", "state"), body)
 
 
-SWEEPS_PER_S = 4  # of the module, in each supervisor (kDecisionInterval in src/decision/decision_engine.cpp)
-PACE_LEAST = 0.75  # of them; as the hollow fleet judges its own runs (kPaceLeast in scale/fleet.cpp)
+SWEEPS_PER_S = 4  # of the decision engine, in each supervisor (kDecisionInterval in src/decision/decision_engine.cpp)
+MIN_PACE = 0.75  # fraction of SWEEPS_PER_S; the simulated fleet applies the same limit to its runs (scale/fleet.cpp)
 
 
 def _pace(results: Sequence[Result]) -> str:
-    """How many of their sweeps the hollow supervisors of each run came to: a machine too slow for the run shows here."""
+    """Tabulates the sweep rate of the simulated supervisors of each run; at a low rate, the machine was too slow."""
     body = []
     for one in results:
         sweeps = one.metrics.get("timers_per_s")
         if one.role != "supervisor" or one.variable or sweeps is None:
             continue
-        state = "kept" if sweeps >= PACE_LEAST * SWEEPS_PER_S else "**trial**: too slow"
+        state = "kept" if sweeps >= MIN_PACE * SWEEPS_PER_S else "**trial**: too slow"
         cells = (one.scenario, one.revision, plain(one.sizes["supervisors"]), plain(one.sizes["servers"]))
         body.append(cells + (f"{sweeps:.2f} of {SWEEPS_PER_S}", state))
     if not body:
@@ -178,19 +179,19 @@
 def _flat(measurements: Measurements) -> str:
     cells: dict[Series, list[str]] = {}
     for one in _swept(measurements):
-        if fit.flat(one.points):
+        if fit.is_flat(one.points):
             mean = sum(point.y for point in one.points) / len(one.points)
             cells.setdefault(one.series, []).append(f"`{one.metric}` {quantity(mean, unit_of(one.metric))}")
     if not cells:
-        return "Nothing."
-    body = [(s.scenario, s.revision, s.role, s.variable, ", ".join(told)) for s, told in cells.items()]
+        return "None."
+    body = [(s.scenario, s.revision, s.role, s.variable, ", ".join(metrics)) for s, metrics in cells.items()]
     return table(("test", "revision", "role", "over", "metrics, with their mean"), body)
 
 
 def _fits(measurements: Measurements) -> str:
     body = []
     for series, metric, measured, line in _swept(measurements):
-        if fit.flat(measured):
+        if fit.is_flat(measured):
             continue
         unit = unit_of(metric)
         body.append(
@@ -212,7 +213,7 @@
     if not body:
         return f"No fit: {NOT_MEASURED}."
     head = ("test", "revision", "role", "metric", "over", "means measured", "n", "at 0") + (
-        "for each more",
+        "per unit",
         "R2",
         "residual error",
         "growth",
@@ -268,13 +269,13 @@
 
 
 def _arithmetic(steps: Sequence[Step]) -> str:
-    return table(("quantity", "reckoning", "result"), [(s.quantity, s.reckoning, s.result) for s in steps])
+    return table(("quantity", "calculation", "result"), [(s.quantity, s.calculation, s.result) for s in steps])
 
 
 def all_tables(targets: Targets, results: Sequence[Result]) -> dict[str, str]:
-    """Every generated table by the name of its marker."""
+    """Returns every generated table by the name of its marker."""
     measurements = Measurements(results)
-    judged = judge_all(measurements, targets)
+    judged = evaluate_all(measurements, targets)
     scenarios = scenario_rows(measurements, targets)
     red = reds(judged, scenarios, targets)
     tables = {
@@ -294,8 +295,8 @@
     }
     for role in ROLES:
         tables[f"role-{role}"] = _role(role, judged)
-    for name, reckon in _SECTIONS.items():
+    for name, add_steps in _SECTIONS.items():
         sheet = Sheet(targets, measurements)
-        reckon(sheet)
+        add_steps(sheet)
         tables[f"arithmetic-{name}"] = _arithmetic(sheet.steps)
     return tables
--- a/scale/report/targets.py
+++ b/scale/report/targets.py
@@ -1,7 +1,7 @@
 """The sizes, budgets and failures to plan for, read from scale/targets.json.
 
-Units stand in the names: ``_s`` seconds, ``_bytes`` bytes, ``_per_day`` a day; ``cpu_share`` is a share of one core.
-A file that lacks a name, has one too many or holds anything but a positive number is refused with the name.
+Names end in their unit: ``_s`` seconds, ``_bytes`` bytes, ``_per_day`` per day; ``cpu_share`` is a share of one core.
+A missing field, an unknown field or a value that is not a positive number is an error that names the field.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from typing import Any, Type, TypeVar
 
 
-class WrongTargets(Exception):
-    """The targets' file cannot be used; the message names file and field."""
+class InvalidTargets(Exception):
+    """The targets file is invalid; the message names the file and the field."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Sizes:
-    """What the system has to carry."""
+    """The size of the system."""
 
     supervisors: float
     servers: float
@@ -34,23 +34,24 @@
 
     @property
     def servers_per_service(self) -> int:
-        """Servers that a supervisor of one service would have to know, rounded up."""
+        """Servers of one service, rounded up."""
         return math.ceil(self.servers / self.services)
 
     @property
     def supervisors_per_machine(self) -> int:
-        """Supervisors of a control machine, rounded up."""
+        """Supervisors on one control machine, rounded up."""
         return math.ceil(self.supervisors / self.control_machines)
 
     def supervisors_lost_with(self, parts: float) -> int:
-        """Supervisors of a zone or region, one of so many, at most: control machines are lost whole."""
+        """Upper bound of the supervisors lost with one of ``parts`` zones or regions; a lost control machine takes all
+        of its supervisors with it."""
         machines = math.ceil(self.control_machines / parts)
         return min(math.ceil(self.supervisors), machines * self.supervisors_per_machine)
 
 
 @dataclasses.dataclass(frozen=True)
 class Budgets:
-    """What may be spent; the last three are for one supervisor."""
+    """Limits. ``cpu_share``, ``memory_bytes`` and ``bytes_per_s`` are per supervisor."""
 
     added_latency_p99_s: float
     time_to_force_s: float
@@ -61,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Failures:
-    """What fails on ordinary days."""
+    """Failures of ordinary days."""
 
     machines_failed_per_day: float
     machines_restarted_per_day: float
@@ -70,8 +71,8 @@
 
 @dataclasses.dataclass(frozen=True)
 class Assumptions:
-    """Figures that no target states: proxies of a supervisor, the period of reports, sizes of entries, and bounds
-    that stand in docs/service.md. An entry of the list is that of the protocol's page; a restart tells three:
+    """Values that no target states: proxies per supervisor, the report period, sizes of entries, and the time limits of
+    docs/service.md. The size of a list entry is that of the protocol page. A restart causes three list changes:
     draining, deleted, serving."""
 
     proxies: float
@@ -94,11 +95,11 @@
     assumptions: Assumptions
 
     def size(self, name: str) -> float:
-        """The target size of that name. Raises AttributeError where there is none."""
+        """Returns the target size of that name. Raises AttributeError if there is none."""
         return float(getattr(self.sizes, name))
 
     def budget(self, name: str) -> float:
-        """The budget of that name. Raises AttributeError where there is none."""
+        """Returns the budget of that name. Raises AttributeError if there is none."""
         return float(getattr(self.budgets, name))
 
 
@@ -107,29 +108,29 @@
 
 def _section(kind: Type[Section], values: Any, name: str, path: Path) -> Section:
     if not isinstance(values, dict):
-        raise WrongTargets(f"{path}: '{name}' is missing or not an object")
-    wanted = {field.name for field in dataclasses.fields(kind)}
-    for field in sorted(wanted ^ set(values)):
-        problem = "is missing" if field in wanted else "is not known"
-        raise WrongTargets(f"{path}: '{name}.{field}' {problem}")
+        raise InvalidTargets(f"{path}: '{name}' is missing or not an object")
+    known = {field.name for field in dataclasses.fields(kind)}
+    for field in sorted(known ^ set(values)):
+        problem = "is missing" if field in known else "is not known"
+        raise InvalidTargets(f"{path}: '{name}.{field}' {problem}")
     for field, value in values.items():
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0 or math.isinf(value):
-            raise WrongTargets(f"{path}: '{name}.{field}' is {value!r}, expected a number above 0")
+            raise InvalidTargets(f"{path}: '{name}.{field}' is {value!r}, expected a number above 0")
     return kind(**values)
 
 
 def load(path: Path) -> Targets:
-    """Reads the targets. Raises WrongTargets."""
+    """Reads the targets. Raises InvalidTargets."""
     try:
-        whole = json.loads(path.read_text(encoding="utf-8"))
+        document = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise WrongTargets(f"{path}: {error}") from error
+        raise InvalidTargets(f"{path}: {error}") from error
     sections = {field.name for field in dataclasses.fields(Targets)}
-    if not isinstance(whole, dict) or set(whole) != sections:
-        raise WrongTargets(f"{path}: expected an object of {', '.join(sorted(sections))}")
+    if not isinstance(document, dict) or set(document) != sections:
+        raise InvalidTargets(f"{path}: expected an object of {', '.join(sorted(sections))}")
     return Targets(
-        _section(Sizes, whole["sizes"], "sizes", path),
-        _section(Budgets, whole["budgets"], "budgets", path),
-        _section(Failures, whole["failures"], "failures", path),
-        _section(Assumptions, whole["assumptions"], "assumptions", path),
+        _section(Sizes, document["sizes"], "sizes", path),
+        _section(Budgets, document["budgets"], "budgets", path),
+        _section(Failures, document["failures"], "failures", path),
+        _section(Assumptions, document["assumptions"], "assumptions", path),
     )
--- a/tests/scale_report/made.py
+++ b/tests/scale_report/synthetic.py
@@ -1,4 +1,4 @@
-"""Made data for the tests of scale/report: results and targets that no run gave."""
+"""Synthetic results for the tests of scale/report, and the targets of the repository."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 def line(**changes: Any) -> dict[str, Any]:
-    """A whole result line; ``changes`` replace its fields."""
-    whole: dict[str, Any] = {
+    """Returns the fields of a valid result line; ``changes`` replace fields."""
+    fields: dict[str, Any] = {
         "revision": REVISION,
         "machine": {"cores": 8, "memory_mb": 24000},
         "scenario": "made",
@@ -28,16 +28,16 @@
         "sizes": {"supervisors": 1, "servers": 375},
         "metrics": {"cpu_share": 0.01},
     }
-    return {**whole, **changes}
+    return {**fields, **changes}
 
 
 def result(**changes: Any) -> results.Result:
-    """The same, parsed."""
+    """Returns a parsed result line; ``changes`` replace fields."""
     return results.parse_line(json.dumps(line(**changes)), "made.jsonl:1")
 
 
 def sweep(metric: str, by_size: dict[float, list[float]], **changes: Any) -> list[results.Result]:
-    """A sweep over servers: the repetitions of one metric at each size."""
+    """Returns a sweep over servers: the repetitions of one metric at each size."""
     return [
         result(value=size, sizes={"servers": size}, repetition=k, metrics={metric: figure}, **changes)
         for size, figures in by_size.items()
@@ -46,5 +46,5 @@
 
 
 def plan() -> targets.Targets:
-    """The targets as they stand in scale/targets.json."""
+    """Reads scale/targets.json."""
     return targets.load(ROOT / "scale" / "targets.json")
