--- a/tests/tools/samples.py
+++ b/tests/tools/samples.py
@@ -1,4 +1,4 @@
-"""Made output of a bench: the form of its lines and of its JSON file, with figures of no real day."""
+"""Synthetic bench output, in the format of the printed lines and of the JSON file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def printed(name: str = "gust+mass", verdict: str = "", rules: str = "rules kept, no fault", restarts: str = "") -> str:
-    """What the bench prints for one day."""
+    """Returns the printed output of the bench for one day."""
     return (
         "site pier-tickets  family control  requests 1200\n"
         "G 0.5000   whole day 0.6000   worst 10 s 0.4000 (from 2 s)\n"
@@ -21,7 +21,7 @@
 
 
 def result(breaks: Optional[dict[str, Any]] = None, **changed: Any) -> dict[str, Any]:
-    """The JSON file of one day; `changed` replaces fields of its row."""
+    """Returns the JSON document of one day; `changed` replaces fields of its row."""
     row = {
         "served": 0.6, "served_least": 0.3, "score": 0.5, "gate": None, "fault": None,
         "by_class": [["browse", 0.6, 0.3], ["buy", 0.7, 0.35]], "by_tenant": [["fair|share", 0.4, 0.2]],
--- a/tools/netplay/__init__.py
+++ b/tools/netplay/__init__.py
@@ -1,1 +1,1 @@
-"""Plays a net of short days with the bench and prints one table of what came out."""
+"""Runs many short test days with the bench and prints the results in one table."""
--- a/tools/netplay/copies.py
+++ b/tools/netplay/copies.py
@@ -1,4 +1,4 @@
-"""Copies of the repository for plays side by side: the bench writes into the folder that it is started in."""
+"""Copies of the repository for parallel runs: the bench writes into its working directory."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 from pathlib import Path
 
 
-def git(root: Path, *words: str) -> str:
-    """What a git command prints."""
-    return subprocess.run(["git", "-C", str(root), *words], check=True, capture_output=True, text=True).stdout.rstrip()
+def git(root: Path, *arguments: str) -> str:
+    """Runs a git command and returns its output."""
+    return subprocess.run(["git", "-C", str(root), *arguments], check=True, capture_output=True, text=True).stdout.rstrip()
 
 
 def revision(root: Path) -> str:
-    """The commit that is played. Changes beside the journal are refused: a copy of a commit would not hold them."""
+    """Returns the checked-out commit. Raises ValueError for uncommitted changes outside the journal: the copies are clones
+    of the commit and would lack them."""
     changed = git(root, "status", "--porcelain", "--", ".", ":(exclude)journal")
     if changed:
-        raise ValueError(f"commit these first, the copies are of a commit:\n{changed}")
+        raise ValueError(f"uncommitted changes, commit them first (the copies are clones of the commit):\n{changed}")
     return git(root, "rev-parse", "--short=10", "HEAD")
 
 
-def program_sum(root: Path) -> str:
-    """A short sum of the built program, so that a table can be told from one of another build."""
+def program_hash(root: Path) -> str:
+    """Returns a short hash of the built program, which distinguishes tables of different builds."""
     return hashlib.sha256((root / "build" / "peargrade").read_bytes()).hexdigest()[:16]
 
 
-def make_copy(root: Path, into: Path) -> Path:
-    """A clone of the commit with the build folder's programs in it; a folder that is there is taken for a leftover."""
+def clone_repository(root: Path, into: Path) -> Path:
+    """Clones the commit and copies the programs of the build folder. An existing clone at `into` is replaced; raises
+    ValueError for any other existing folder."""
     if into.exists():
         if not (into / ".git").exists():
-            raise ValueError(f"{into} is there and is no copy of a repository")
+            raise ValueError(f"{into} exists and is no copy of a repository")
         shutil.rmtree(into)
     into.parent.mkdir(parents=True, exist_ok=True)
     subprocess.run(["git", "clone", "--quiet", "--shared", str(root), str(into)], check=True, capture_output=True)
@@ -42,16 +44,19 @@
 
 
 def journal_names(root: Path) -> set[str]:
-    """The files of a journal: its entries and what they refer to, such as `blobs/NAME`."""
+    """Returns the files of the journal: its entries and the files that they refer to, such as `blobs/NAME`."""
     return {str(file.relative_to(root / "journal")) for file in (root / "journal").rglob("*") if file.is_file()}
 
 
-def bring_back(copy: Path, root: Path, known: set[str]) -> list[str]:
-    """Brings files of a copy's journal that are not `known` into the repository's; what lies there is never written over."""
-    fresh = sorted(journal_names(copy) - known)
-    for name in fresh:
+def copy_journal_back(copy: Path, root: Path, known: set[str]) -> list[str]:
+    """Copies journal files that are not in `known` from a copy into the repository, without overwriting existing files.
+
+    Returns the names of all files that are not in `known`.
+    """
+    new_names = sorted(journal_names(copy) - known)
+    for name in new_names:
         target = root / "journal" / name
         if not target.exists():
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy2(copy / "journal" / name, target)
-    return fresh
+    return new_names
--- a/tools/netplay/kinds.py
+++ b/tools/netplay/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of day that the net knows, and how a list of kinds is read."""
+"""The named sets of day kinds, and the parsers for lists of kinds and seeds."""
 
 SINGLE: tuple[str, ...] = (
     "calm", "throng", "crowd", "term", "reload", "stale", "silent", "brink", "x1", "x4", "x16", "reset", "fleet",
@@ -19,9 +19,10 @@
 
 
 def read_kinds(text: str, added: str) -> list[str]:
-    """Reads a comma list of kinds and names of sets; `added` is joined to each kind that lacks it.
+    """Parses a comma-separated list of kinds and set names; `added` is appended to each kind that lacks it.
 
-    `soak` is a day of its own and stays alone. A kind that comes twice is kept once, in the place where it came first.
+    `soak` cannot be combined with other kinds, so nothing is appended to it. Duplicates are removed; the first
+    occurrence stays.
     """
     kinds: list[str] = []
     for word in filter(None, (part.strip() for part in text.split(","))):
@@ -31,17 +32,17 @@
             if kind not in kinds:
                 kinds.append(kind)
     if not kinds:
-        raise ValueError("no kind of day is named")
+        raise ValueError("the list of kinds is empty")
     return kinds
 
 
 def read_seeds(text: str) -> list[int]:
-    """Reads seeds as a comma list of numbers and ranges: `201-203,7` gives 201, 202, 203, 7."""
+    """Parses a comma-separated list of numbers and ranges: `201-203,7` gives 201, 202, 203, 7."""
     seeds: list[int] = []
     for part in filter(None, (part.strip() for part in text.split(","))):
         first, dash, last = part.partition("-")
         numbers = range(int(first), int(last) + 1) if dash else [int(first)]
         seeds.extend(seed for seed in numbers if seed not in seeds)
     if not seeds:
-        raise ValueError("no seed is named")
+        raise ValueError("the list of seeds is empty")
     return seeds
--- a/tools/netplay/runner.py
+++ b/tools/netplay/runner.py
@@ -1,4 +1,4 @@
-"""Plays days with the bench: a bounded number side by side, each in a copy of the repository, each with a time limit."""
+"""Runs days with the bench: a bounded number in parallel, each in its own copy of the repository, with a time limit."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from typing import Any, Callable, Optional
 
 from . import copies
-from .outcome import Outcome, Play, not_run, read_outcome
+from .outcome import Outcome, Run, not_run, read_outcome
 
 STOP_GRACE_S = 5.0
-"""How long a bench that was told to end has, before it is killed."""
+"""How long a bench may take to exit after SIGTERM before it is killed."""
 
 
 @dataclass(frozen=True)
-class Net:
-    """What all plays of a run share."""
+class Settings:
+    """The settings that all runs of a batch share."""
 
     bench: Path
     site: Path
@@ -35,21 +35,21 @@
     deploy: Optional[str] = None
 
 
-def command(net: Net, play: Play, result: Path, logs: Path) -> list[str]:
-    """The bench's command for one play."""
-    words = [str(net.bench), str(net.site), "--rough", play.kind, "--seed", str(play.seed)]
-    if play.nodes:
-        words += ["--nodes", str(play.nodes)]
-    if net.deploy:
-        words += ["--deploy", net.deploy]
-    return words + ["--no-build", "--json", str(result), "--logs", str(logs), "--why", net.why]
+def bench_command(settings: Settings, run: Run, result: Path, logs: Path) -> list[str]:
+    """Returns the command line of the bench for one run."""
+    words = [str(settings.bench), str(settings.site), "--rough", run.kind, "--seed", str(run.seed)]
+    if run.nodes:
+        words += ["--nodes", str(run.nodes)]
+    if settings.deploy:
+        words += ["--deploy", settings.deploy]
+    return words + ["--no-build", "--json", str(result), "--logs", str(logs), "--why", settings.why]
 
 
-def end(process: subprocess.Popen[bytes]) -> None:
-    """Ends a bench and what it started: its own process group, and nothing else."""
-    for sign in (signal.SIGTERM, signal.SIGKILL):
+def terminate(process: subprocess.Popen[bytes]) -> None:
+    """Terminates a bench with its child processes: exactly the process group of the bench."""
+    for signal_number in (signal.SIGTERM, signal.SIGKILL):
         try:
-            os.killpg(process.pid, sign)
+            os.killpg(process.pid, signal_number)
         except ProcessLookupError:
             break
         try:
@@ -59,96 +59,97 @@
     process.wait()
 
 
-def wait_for(process: subprocess.Popen[bytes], limit_s: float, stop: threading.Event) -> Optional[str]:
-    """Waits for the bench to end; past the limit, or when the run is stopped, ends it and says so."""
-    due = time.monotonic() + limit_s
+def wait_until_done(process: subprocess.Popen[bytes], limit_s: float, stop: threading.Event) -> Optional[str]:
+    """Waits for the bench to exit. After the time limit, or if the batch is stopped, terminates it and returns the reason."""
+    deadline = time.monotonic() + limit_s
     while True:
         try:
             process.wait(0.2)
             return None
         except subprocess.TimeoutExpired:
             if stop.is_set():
-                end(process)
-                return "the run was stopped"
-            if time.monotonic() >= due:
-                end(process)
-                return f"not over after {limit_s:.0f} s"
+                terminate(process)
+                return "the batch was stopped"
+            if time.monotonic() >= deadline:
+                terminate(process)
+                return f"time limit of {limit_s:.0f} s exceeded"
 
 
 def read_json(path: Path) -> Optional[dict[str, Any]]:
-    """The JSON object of a file; nothing if there is none."""
+    """Returns the JSON object of a file; None if the file is missing or invalid."""
     try:
-        held = json.loads(path.read_text())
+        document = json.loads(path.read_text())
     except (OSError, ValueError):
         return None
-    return held if isinstance(held, dict) else None
+    return document if isinstance(document, dict) else None
 
 
-def keep_logs(net: Net, outcome: Outcome, work: Path) -> None:
-    """Keeps what was printed, the JSON file and the supervisors' logs of a play that failed or did not run."""
-    if net.logs is None or not (outcome.failed or outcome.not_run):
+def save_logs(settings: Settings, outcome: Outcome, work: Path) -> None:
+    """Saves the output, the JSON file and the supervisor logs of a run that failed or did not complete."""
+    if settings.logs is None or not (outcome.failed or outcome.not_run):
         return
-    kept = net.logs / f"{outcome.play.kind}-{outcome.play.seed}"
-    if kept.exists():
-        shutil.rmtree(kept)
-    shutil.copytree(work, kept)
+    target = settings.logs / f"{outcome.run.kind}-{outcome.run.seed}"
+    if target.exists():
+        shutil.rmtree(target)
+    shutil.copytree(work, target)
 
 
-def play_one(net: Net, play: Play, copy: Path, stop: threading.Event) -> Outcome:
-    """Plays one day in a copy and reads what came out."""
+def run_one(settings: Settings, run: Run, copy: Path, stop: threading.Event) -> Outcome:
+    """Runs one day in a copy and reads its outcome."""
     work = copy.with_name(copy.name + "-out")
     shutil.rmtree(work, ignore_errors=True)
     (work / "logs").mkdir(parents=True)
     known = copies.journal_names(copy)
     began = time.monotonic()
     with open(work / "printed.txt", "wb") as printed:
-        process = subprocess.Popen(command(net, play, work / "result.json", work / "logs"), cwd=copy, stdin=subprocess.DEVNULL,
-                                   stdout=printed, stderr=subprocess.STDOUT, start_new_session=True)
-        cut_short = wait_for(process, net.limit_s, stop)
-    took = round(time.monotonic() - began, 1)
-    journal = copies.bring_back(copy, net.root, known)
+        process = subprocess.Popen(bench_command(settings, run, work / "result.json", work / "logs"), cwd=copy,
+                                   stdin=subprocess.DEVNULL, stdout=printed, stderr=subprocess.STDOUT, start_new_session=True)
+        stop_reason = wait_until_done(process, settings.limit_s, stop)
+    wall_s = round(time.monotonic() - began, 1)
+    journal = copies.copy_journal_back(copy, settings.root, known)
     text = (work / "printed.txt").read_text(errors="replace")
-    if cut_short:
-        outcome = not_run(play, cut_short, journal)
+    if stop_reason:
+        outcome = not_run(run, stop_reason, journal)
     else:
-        outcome = read_outcome(play, text, read_json(work / "result.json"), took, journal)
-    keep_logs(net, outcome, work)
+        outcome = read_outcome(run, text, read_json(work / "result.json"), wall_s, journal)
+    save_logs(settings, outcome, work)
     return outcome
 
 
-def play_all(net: Net, plays: list[Play], side_by_side: int, stop: threading.Event,
-             report: Callable[[Outcome], None]) -> list[Outcome]:
-    """Plays all days, `side_by_side` at a time; `report` is called for each that ends. A day never begun is not run."""
-    waiting: queue.Queue[int] = queue.Queue()
-    for number in range(len(plays)):
-        waiting.put(number)
+def run_all(settings: Settings, runs: list[Run], jobs: int, stop: threading.Event,
+            report: Callable[[Outcome], None]) -> list[Outcome]:
+    """Runs all days, `jobs` at a time, and calls `report` after each. If `stop` is set, days not yet started count as not
+    run."""
+    pending: queue.Queue[int] = queue.Queue()
+    for number in range(len(runs)):
+        pending.put(number)
     outcomes: dict[int, Outcome] = {}
     lock = threading.Lock()
 
-    def work(place: int) -> None:
+    def worker(index: int) -> None:
         copy: Optional[Path] = None
         while not stop.is_set():
             try:
-                number = waiting.get_nowait()
+                number = pending.get_nowait()
             except queue.Empty:
                 return
             try:
-                copy = copy or copies.make_copy(net.root, net.scratch / f"copy-{place}")
-                outcome = play_one(net, plays[number], copy, stop)
+                copy = copy or copies.clone_repository(settings.root, settings.scratch / f"copy-{index}")
+                outcome = run_one(settings, runs[number], copy, stop)
             except (OSError, ValueError, TypeError, KeyError, subprocess.CalledProcessError) as error:
-                outcome = not_run(plays[number], f"{type(error).__name__}: {error}")
+                outcome = not_run(runs[number], f"{type(error).__name__}: {error}")
             with lock:
                 outcomes[number] = outcome
                 report(outcome)
 
-    threads = [threading.Thread(target=work, args=(place,)) for place in range(min(side_by_side, len(plays)))]
+    threads = [threading.Thread(target=worker, args=(index,)) for index in range(min(jobs, len(runs)))]
     for thread in threads:
         thread.start()
     for thread in threads:
         while thread.is_alive():
             thread.join(0.5)
-    for number, play in enumerate(plays):
+    for number, run in enumerate(runs):
         if number not in outcomes:
-            outcomes[number] = not_run(play, "the run was stopped before it")
+            outcomes[number] = not_run(run, "the batch was stopped before this run")
             report(outcomes[number])
-    return [outcomes[number] for number in range(len(plays))]
+    return [outcomes[number] for number in range(len(runs))]
