--- a/scale/report/arithmetic.py
+++ b/scale/report/arithmetic.py
@@ -16,34 +16,44 @@
 
 def fleet(sheet: Sheet) -> None:
     """Supervisors, servers and services."""
-    s = sheet.targets.sizes
-    scoped = s.servers_per_service
-    sheet.step("supervisors a service", f"{s.supervisors:g} / {s.services:g}", number(s.supervisors / s.services))
-    sheet.step("servers a service", f"{s.servers:g} / {s.services:g}, rounded up", number(scoped))
-    slices = math.ceil(s.routes / s.supervisors)
-    sheet.step("slices held by a supervisor", f"{s.routes:g} / {s.supervisors:g}, rounded up", number(slices))
-    reports = s.zones * s.servers
-    sheet.step("reports a second to a supervisor, whole fleet", f"{s.zones:g} zones x {s.servers:g}", number(reports))
-    sheet.step("the same of one service", f"{s.zones:g} x {scoped}", number(s.zones * scoped))
-    sheet.step("less by subsetting", f"{s.servers:g} / {scoped}", ratio_text(s.servers / scoped))
+    sizes = sheet.targets.sizes
+    scoped = sizes.servers_per_service
+    sheet.step(
+        "supervisors a service",
+        f"{sizes.supervisors:g} / {sizes.services:g}",
+        number(sizes.supervisors / sizes.services),
+    )
+    sheet.step("servers a service", f"{sizes.servers:g} / {sizes.services:g}, rounded up", number(scoped))
+    slices = math.ceil(sizes.routes / sizes.supervisors)
+    sheet.step("slices held by a supervisor", f"{sizes.routes:g} / {sizes.supervisors:g}, rounded up", number(slices))
+    reports = sizes.zones * sizes.servers
+    sheet.step(
+        "reports a second to a supervisor, whole fleet", f"{sizes.zones:g} zones x {sizes.servers:g}", number(reports)
+    )
+    sheet.step("the same of one service", f"{sizes.zones:g} x {scoped}", number(sizes.zones * scoped))
+    sheet.step("less by subsetting", f"{sizes.servers:g} / {scoped}", ratio_text(sizes.servers / scoped))
     reports_in = sheet.figure(rows.REPORTS, rows.FLEET)
     sheet.measured("bytes a report", f"/ {reports:g}", reports_in, "bytes_per_s", lambda v: bytes_text(v / reports))
-    every = f"x {s.supervisors:g}"
-    sheet.measured("reports in, all supervisors", every, reports_in, "bytes_per_s", lambda v: rate(v * s.supervisors))
+    every = f"x {sizes.supervisors:g}"
+    sheet.measured(
+        "reports in, all supervisors", every, reports_in, "bytes_per_s", lambda v: rate(v * sizes.supervisors)
+    )
     for name, scope in (("whole fleet", rows.FLEET), ("one service", rows.SERVICE)):
         cpu = sheet.figure("cpu_share", scope)
         title = f"cores of all supervisors, {name} seen"
-        sheet.measured(title, every, cpu, "share", lambda v: number(v * s.supervisors))
+        sheet.measured(title, every, cpu, "share", lambda v: number(v * sizes.supervisors))
 
 
 def requests(sheet: Sheet) -> None:
     """Requests per second."""
-    s = sheet.targets.sizes
-    peak = s.requests_per_second
-    for name, count in (("server", s.servers), ("route", s.routes), ("tenant", s.tenants)):
+    sizes = sheet.targets.sizes
+    peak = sizes.requests_per_second
+    for name, count in (("server", sizes.servers), ("route", sizes.routes), ("tenant", sizes.tenants)):
         sheet.step(f"requests a {name}", f"{peak:g} / {count:g}", f"{number(peak / count)}/s")
     sheet.step(
-        "requests of the slices of one supervisor", f"{peak:g} / {s.supervisors:g}", f"{number(peak / s.supervisors)}/s"
+        "requests of the slices of one supervisor",
+        f"{peak:g} / {sizes.supervisors:g}",
+        f"{number(peak / sizes.supervisors)}/s",
     )
     sheet.step("messages at a supervisor for each request", "reports are sums of a window", "0")
     pick = sheet.figure("pick_p50_ns", rows.ALL_LINES, "proxy")
@@ -53,19 +63,23 @@
 
 def routes(sheet: Sheet) -> None:
     """Routes and tenants."""
-    s, each = sheet.targets.sizes, sheet.targets.assumptions.tenant_entry_bytes
-    sheet.step("routes a service", f"{s.routes:g} / {s.services:g}", number(s.routes / s.services))
-    sheet.step("tenants a service", f"{s.tenants:g} / {s.services:g}", number(s.tenants / s.services))
-    sheet.step("tenants a route", f"{s.tenants:g} / {s.routes:g}", number(s.tenants / s.routes))
+    sizes, each = sheet.targets.sizes, sheet.targets.assumptions.tenant_entry_bytes
+    sheet.step("routes a service", f"{sizes.routes:g} / {sizes.services:g}", number(sizes.routes / sizes.services))
+    sheet.step("tenants a service", f"{sizes.tenants:g} / {sizes.services:g}", number(sizes.tenants / sizes.services))
+    sheet.step("tenants a route", f"{sizes.tenants:g} / {sizes.routes:g}", number(sizes.tenants / sizes.routes))
     for name, count, scope in (
-        ("at most", s.servers, rows.ALL_LINES),
-        ("servers of a service", s.servers_per_service, rows.SERVICE_LINES),
+        ("at most", sizes.servers, rows.ALL_LINES),
+        ("servers of a service", sizes.servers_per_service, rows.SERVICE_LINES),
     ):
-        sheet.step(f"table lines at a proxy, {name}", f"{s.routes:g} routes x {count:g}", number(s.routes * count))
+        sheet.step(
+            f"table lines at a proxy, {name}", f"{sizes.routes:g} routes x {count:g}", number(sizes.routes * count)
+        )
         held = sheet.figure("state_bytes", scope, "proxy")
         sheet.measured(f"bytes of these, {name}", "reference pick", held, "bytes", bytes_text)
-    sheet.step("all tenants, one entry each", f"{s.tenants:g} x {each:g} B (assumed)", bytes_text(s.tenants * each))
-    sheet.step("tenants of one service", f"/ {s.services:g}", bytes_text(s.tenants * each / s.services))
+    sheet.step(
+        "all tenants, one entry each", f"{sizes.tenants:g} x {each:g} B (assumed)", bytes_text(sizes.tenants * each)
+    )
+    sheet.step("tenants of one service", f"/ {sizes.services:g}", bytes_text(sizes.tenants * each / sizes.services))
 
 
 def latency(sheet: Sheet) -> None:
@@ -84,17 +98,19 @@
 
 def regions(sheet: Sheet) -> None:
     """Regions and zones."""
-    s, each = sheet.targets.sizes, sheet.targets.assumptions.list_entry_bytes
-    changes = s.servers / s.zones
-    parts = f"/ {s.zones:g}, / {s.regions:g}"
-    sheet.step("zones a region", f"{s.zones:g} / {s.regions:g}", number(s.zones / s.regions))
+    sizes, each = sheet.targets.sizes, sheet.targets.assumptions.list_entry_bytes
+    changes = sizes.servers / sizes.zones
+    parts = f"/ {sizes.zones:g}, / {sizes.regions:g}"
+    sheet.step("zones a region", f"{sizes.zones:g} / {sizes.regions:g}", number(sizes.zones / sizes.regions))
     sheet.step(
-        "servers a zone, a region", f"{s.servers:g} {parts}", f"{number(changes)}, {number(s.servers / s.regions)}"
+        "servers a zone, a region",
+        f"{sizes.servers:g} {parts}",
+        f"{number(changes)}, {number(sizes.servers / sizes.regions)}",
     )
-    zone, region = math.ceil(s.supervisors / s.zones), math.ceil(s.supervisors / s.regions)
-    sheet.step("supervisors a zone, a region", f"{s.supervisors:g} {parts}, rounded up", f"{zone}, {region}")
-    machines = f"{s.control_machines:g} {parts}, rounded up, x {s.supervisors_per_machine}"
-    lost = f"{s.supervisors_lost_with(s.zones)}, {s.supervisors_lost_with(s.regions)}"
+    zone, region = math.ceil(sizes.supervisors / sizes.zones), math.ceil(sizes.supervisors / sizes.regions)
+    sheet.step("supervisors a zone, a region", f"{sizes.supervisors:g} {parts}, rounded up", f"{zone}, {region}")
+    machines = f"{sizes.control_machines:g} {parts}, rounded up, x {sizes.supervisors_per_machine}"
+    lost = f"{sizes.supervisors_lost_with(sizes.zones)}, {sizes.supervisors_lost_with(sizes.regions)}"
     sheet.step("the same, upper bound: complete control machines are lost", machines, lost)
     change_bytes = changes * each
     sheet.step(
@@ -102,41 +118,43 @@
         f"{changes:g} x {each:g} B (assumed)",
         bytes_text(change_bytes),
     )
-    sheet.step("the same to all supervisors", f"x {s.supervisors:g}", bytes_text(change_bytes * s.supervisors))
+    sheet.step("the same to all supervisors", f"x {sizes.supervisors:g}", bytes_text(change_bytes * sizes.supervisors))
 
 
 def configuration(sheet: Sheet) -> None:
     """Changes of configuration."""
-    s, b = sheet.targets.sizes, sheet.targets.budgets
-    changes, within = s.configuration_changes_per_day, b.time_to_force_s
+    sizes, budgets = sheet.targets.sizes, sheet.targets.budgets
+    changes, within = sizes.configuration_changes_per_day, budgets.time_to_force_s
     sheet.step("time between changes", f"{DAY_S} s / {changes:g}", seconds_text(DAY_S / changes))
     sheet.step(
         "changes under way at a time", f"{changes:g} x {within:g} s / {DAY_S} s", number(changes * within / DAY_S)
     )
-    restarts, usual = changes * s.supervisors, sheet.targets.failures.machines_restarted_per_day
-    sheet.step("restarts a day if each change needs one", f"{changes:g} x {s.supervisors:g}", number(restarts))
+    restarts, usual = changes * sizes.supervisors, sheet.targets.failures.machines_restarted_per_day
+    sheet.step("restarts a day if each change needs one", f"{changes:g} x {sizes.supervisors:g}", number(restarts))
     sheet.step("ratio to the other restarts of a day", f"/ {usual:g}", ratio_text(restarts / usual))
     sheet.step(
-        "restarts a second to be done in time", f"{s.supervisors:g} / {within:g} s", number(s.supervisors / within)
+        "restarts a second to be done in time",
+        f"{sizes.supervisors:g} / {within:g} s",
+        number(sizes.supervisors / within),
     )
-    share = f"{b.bytes_per_s:g} B/s x {DAY_S} s / {changes:g}"
+    share = f"{budgets.bytes_per_s:g} B/s x {DAY_S} s / {changes:g}"
     sheet.step(
         "bytes available for a change, if it uses the complete budget",
         share,
-        bytes_text(b.bytes_per_s * DAY_S / changes),
+        bytes_text(budgets.bytes_per_s * DAY_S / changes),
     )
-    tenants = s.tenants * sheet.targets.assumptions.tenant_entry_bytes
+    tenants = sizes.tenants * sheet.targets.assumptions.tenant_entry_bytes
     full_rate = tenants * changes / DAY_S
     sheet.step(
         "all tenants sent in full with each change",
         f"{bytes_text(tenants)} (assumed) x {changes:g} / {DAY_S} s",
         rate(full_rate),
     )
-    sheet.step("ratio to the budget", f"/ {rate(b.bytes_per_s)}", ratio_text(full_rate / b.bytes_per_s))
+    sheet.step("ratio to the budget", f"/ {rate(budgets.bytes_per_s)}", ratio_text(full_rate / budgets.bytes_per_s))
     sheet.step(
         "tenants of one service sent in full with each change",
-        f"/ {s.services:g}",
-        rate(full_rate / s.services),
+        f"/ {sizes.services:g}",
+        rate(full_rate / sizes.services),
     )
     for name, metric in (
         ("a change of the list", "time_to_force_worst_s"),
@@ -149,20 +167,21 @@
 
 def control(sheet: Sheet) -> None:
     """Resources that the supervisors may use."""
-    s, b = sheet.targets.sizes, sheet.targets.budgets
-    each, left = s.supervisors / s.control_machines, s.control_machines - 1
+    sizes, budgets = sheet.targets.sizes, sheet.targets.budgets
+    each, left = sizes.supervisors / sizes.control_machines, sizes.control_machines - 1
 
     def machine(count: float) -> str:
         return (
-            f"{number(count * b.cpu_share)} cores, {bytes_text(count * b.memory_bytes)}, {rate(count * b.bytes_per_s)}"
+            f"{number(count * budgets.cpu_share)} cores, {bytes_text(count * budgets.memory_bytes)}, "
+            f"{rate(count * budgets.bytes_per_s)}"
         )
 
-    shared = f"{s.supervisors:g} / {s.control_machines:g}"
+    shared = f"{sizes.supervisors:g} / {sizes.control_machines:g}"
     sheet.step("budget of a supervisor", "target", machine(1))
-    sheet.step("supervisors a control machine", f"{shared}, rounded up", plain(s.supervisors_per_machine))
+    sheet.step("supervisors a control machine", f"{shared}, rounded up", plain(sizes.supervisors_per_machine))
     sheet.step("budget of a control machine", shared, machine(each))
-    sheet.step("the same with one machine lost", f"{s.supervisors:g} / {left:g}", machine(s.supervisors / left))
-    sheet.step("budget of all supervisors", f"x {s.supervisors:g}", machine(s.supervisors))
+    sheet.step("the same with one machine lost", f"{sizes.supervisors:g} / {left:g}", machine(sizes.supervisors / left))
+    sheet.step("budget of all supervisors", f"x {sizes.supervisors:g}", machine(sizes.supervisors))
     for name, scope in (("whole fleet", rows.FLEET), ("one service", rows.SERVICE)):
         cpu, memory = sheet.figure("cpu_share", scope), sheet.figure("resident_bytes", scope)
         calculation = f"x {number(each)}"
