--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,12 +1,13 @@
-/// The program peargrade_simulator_adapter: decision engines on standard input and output.
+/// The main loop of the program peargrade_simulator_adapter, which runs decision engines over standard input
+/// and output.
 #pragma once
 
 #include <iosfwd>
 
 namespace peargrade::simulator {
 
-/// Answers one batch a line from `in` with one reply a line on `out`, until the end of input. Returns the
-/// exit code: 0, or 1 after a malformed batch, which it describes on `err`.
+/// Reads one batch per line from `in` and writes one reply per line to `out`, until the end of input. Returns
+/// the exit code: 0 at the end of input, or 1 after a malformed batch, which it describes on `err`.
 int runAdapter(std::istream& in, std::ostream& out, std::ostream& err);
 
 }  // namespace peargrade::simulator
--- a/src/simulator/engine_instances.h
+++ b/src/simulator/engine_instances.h
@@ -1,4 +1,4 @@
-/// The decision engines that the simulator runs, by instance number.
+/// The decision engines that the simulator has started, by instance number.
 #pragma once
 
 #include <map>
@@ -10,11 +10,12 @@
 
 namespace peargrade::simulator {
 
-/// Starts, runs and kills one DecisionEngine for each instance number. Instances share nothing.
+/// Starts, runs and destroys one DecisionEngine for each instance number. Instances share no state.
 class EngineInstances {
  public:
-  /// Applies the batch's inputs in order; instances without actions are left out of the reply. Throws
-  /// ParseError for an event of an instance that is not running, or of a slice that its settings do not have.
+  /// Applies the inputs of the batch in order. The reply omits instances without actions. Throws ParseError
+  /// for an event of an instance that is not running, or of a slice that the instance's settings do not
+  /// contain.
   wire::Reply process(const wire::Batch& batch);
 
  private:
--- a/src/wire/action_writer.cpp
+++ b/src/wire/action_writer.cpp
@@ -8,7 +8,8 @@
 namespace peargrade::wire {
 namespace {
 
-// Visits an action: opens the object of its name and writes the fields in the wire's order.
+// Visitor that writes one action: opens the object under the action's wire name and writes its fields in the
+// order of the protocol.
 class ActionWriter {
  public:
   explicit ActionWriter(JsonWriter& writer) : writer_(writer) {}
@@ -65,6 +66,7 @@
   }
 
  private:
+  // Opens the object of the action's fields; writeAction() closes it.
   void begin(const char* name) {
     writer_.Key(name);
     writer_.StartObject();
--- a/src/wire/action_writer.h
+++ b/src/wire/action_writer.h
@@ -1,4 +1,4 @@
-/// Actions of the simulator's wire.
+/// Serialization of actions for the simulator protocol.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -10,7 +10,7 @@
 
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
 
-/// Writes `action` as an object with a single key, its name on the wire.
+/// Writes `action` as a JSON object with a single key, the action's wire name.
 void writeAction(JsonWriter& writer, const Action& action);
 
 }  // namespace peargrade::wire
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -14,7 +14,8 @@
   group.supervisor = static_cast<int>(Fields(value, batch + ": group").integer("supervisor", 0, kIntMax));
   const std::string where = batch + ": supervisor " + std::to_string(group.supervisor);
   const Fields fields(value, where);
-  for (const Value& input : fields.array("input").GetArray()) group.input.push_back(parseInput(input, where));
+  for (const Value& input : fields.array("input").GetArray())
+    group.inputs.push_back(parseInput(input, where));
   return group;
 }
 
@@ -24,7 +25,7 @@
   writer.Int(group.supervisor);
   writer.Key("out");
   writer.StartArray();
-  for (const Action& action : group.out) writeAction(writer, action);
+  for (const Action& action : group.actions) writeAction(writer, action);
   writer.EndArray();
   writer.EndObject();
 }
@@ -35,8 +36,8 @@
   rapidjson::Document document;
   parseJson(document, line, "batch");
   Batch batch;
-  batch.turn = Fields(document, "batch").integer("turn", 0, kMicrosMax);
-  const std::string where = "batch " + std::to_string(batch.turn);
+  batch.sequenceNumber = Fields(document, "batch").integer("turn", 0, kMicrosMax);
+  const std::string where = "batch " + std::to_string(batch.sequenceNumber);
   const Fields fields(document, where);
   batch.now = fields.integer("wallUs", 0, kMicrosMax);
   for (const Value& group : fields.array("groups").GetArray())
@@ -49,7 +50,7 @@
   JsonWriter writer(buffer);
   writer.StartObject();
   writer.Key("turn");
-  writer.Int64(reply.turn);
+  writer.Int64(reply.sequenceNumber);
   writer.Key("groups");
   writer.StartArray();
   for (const ReplyGroup& group : reply.groups) writeGroup(writer, group);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,5 +1,5 @@
-/// The simulator's wire: a batch of events a line in, a reply with actions a line out. The codec translates
-/// names and units and checks ranges; it decides nothing.
+/// JSON codec of the simulator protocol: each input line is a batch of events, each output line is a reply
+/// with actions. The codec translates names and units and checks ranges; it makes no decisions.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +15,44 @@
 
 namespace peargrade::wire {
 
-/// An instance starts, in place of an earlier one with its number. Wire: `newInstance`.
+/// Starts an instance; a running instance with the same number is destroyed first. Wire name: `newInstance`.
 struct NewInstance {
-  std::uint64_t seed = 0;  ///< Of the instance's random numbers.
+  std::uint64_t seed = 0;  ///< Seed of the instance's random number generator.
   Settings settings;
 };
 
-/// An instance is killed. Wire: `retire`.
+/// Destroys an instance. Wire name: `retire`.
 struct Retire {};
 
 using Input = std::variant<NewInstance, Retire, Event>;
 
-/// What one instance receives in a batch, in order.
+/// The inputs of one instance in a batch, in order.
 struct InputGroup {
   int supervisor = 0;  ///< The instance's number.
-  std::vector<Input> input;
+  std::vector<Input> inputs;
 };
 
 struct Batch {
-  Micros now = 0;         ///< The batch's clock, in microseconds.
-  std::int64_t turn = 0;  ///< The batch's number; the reply repeats it.
+  Micros now = 0;                   ///< Time of the batch, in microseconds.
+  std::int64_t sequenceNumber = 0;  ///< Repeated in the reply. Wire name: `turn`.
   std::vector<InputGroup> groups;
 };
 
-/// What one instance answers, in order.
+/// The actions of one instance in a reply, in order.
 struct ReplyGroup {
   int supervisor = 0;  ///< The instance's number.
-  std::vector<Action> out;
+  std::vector<Action> actions;
 };
 
 struct Reply {
-  std::int64_t turn = 0;
+  std::int64_t sequenceNumber = 0;  ///< Sequence number of the batch.
   std::vector<ReplyGroup> groups;
 };
 
-/// Throws ParseError that names the batch, the instance and the field.
+/// Parses one input line. Throws ParseError that names the batch, the instance and the field.
 Batch parseBatch(const std::string& line);
 
-/// Without a line end.
+/// Returns the reply as one line of JSON, without a line terminator.
 std::string writeReply(const Reply& reply);
 
 }  // namespace peargrade::wire
--- a/src/wire/event_parser.cpp
+++ b/src/wire/event_parser.cpp
@@ -12,27 +12,29 @@
 
 constexpr std::int64_t kUpdateIdMax = 65535;
 
-int zoneOf(const Fields& fields) { return static_cast<int>(fields.integer("rackZone", 0, kIntMax)); }
+int parseZone(const Fields& fields) { return static_cast<int>(fields.integer("rackZone", 0, kIntMax)); }
 
-int classOf(const Fields& fields) { return static_cast<int>(fields.integer("cls", 0, kIntMax)); }
+int parseRequestClass(const Fields& fields) { return static_cast<int>(fields.integer("cls", 0, kIntMax)); }
 
-ProxyId proxyOf(const Fields& fields) {
+ProxyId parseProxyId(const Fields& fields) {
   return static_cast<ProxyId>(fields.integer("sidecar", 0, kProxyMax));
 }
 
-TableId tableOf(const Fields& fields) { return static_cast<TableId>(fields.integer("tbl", 0, kTableMax)); }
+TableId parseTableId(const Fields& fields) {
+  return static_cast<TableId>(fields.integer("tbl", 0, kTableMax));
+}
 
-std::int64_t totalOf(const Fields& fields) { return fields.integer("total", 0, kIntMax); }
+std::int64_t parseTotal(const Fields& fields) { return fields.integer("total", 0, kIntMax); }
 
-std::int64_t failuresOf(const Fields& fields) { return fields.integerOr("bad", 0, kIntMax, 0); }
+std::int64_t parseFailures(const Fields& fields) { return fields.integerOr("bad", 0, kIntMax, 0); }
 
-Micros durationOf(const Fields& fields) { return fields.integerOr("durationUs", 0, kMicrosMax, 0); }
+Micros parseDuration(const Fields& fields) { return fields.integerOr("durationUs", 0, kMicrosMax, 0); }
 
-Micros windowOf(const Fields& fields) { return fields.integer("windowUs", 0, kMicrosMax); }
+Micros parseWindow(const Fields& fields) { return fields.integer("windowUs", 0, kMicrosMax); }
 
 Input parseNewInstance(const Fields& fields) {
   const Value& seed = fields.required("randomSeed");
-  if (!seed.IsUint64() && !seed.IsInt64()) fields.failField("randomSeed", "is not a whole number");
+  if (!seed.IsUint64() && !seed.IsInt64()) fields.failField("randomSeed", "is not an integer");
   NewInstance start;
   start.seed = seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
   start.settings = parseSettings(fields.required("info"), fields.where() + ": info");
@@ -72,7 +74,7 @@
 
 Input parseTimeoutFired(const Fields& fields) { return Event{TimerFired{fields.text("handle")}}; }
 
-// The wire numbers the outcomes in this order.
+// The index of an outcome in kOutcomes is its number on the wire.
 Input parseEcho(const Fields& fields) {
   static constexpr HealthCheckOutcome kOutcomes[] = {
       HealthCheckOutcome::Error,   HealthCheckOutcome::Passed,      HealthCheckOutcome::Rejected,
@@ -81,52 +83,52 @@
   HealthCheckResult result;
   result.server = serverId(fields, "server");
   result.outcome = kOutcomes[fields.integer("ending", 0, kOutcomeMax)];
-  result.duration = durationOf(fields);
+  result.duration = parseDuration(fields);
   return Event{std::move(result)};
 }
 
 Input parseMessage(const Fields& fields) {
   const int origin = static_cast<int>(fields.integer("originPeer", 0, kIntMax));
   auto payload = fromHex(fields.text("octets"));
-  if (!payload) fields.failField("octets", "is not hex digits");
+  if (!payload) fields.failField("octets", "is not a string of hexadecimal digit pairs");
   return Event{GossipReceived{origin, std::move(*payload)}};
 }
 
 Input parseEnrolled(const Fields& fields) {
   return Event{
-      ProxyConnected{proxyOf(fields), zoneOf(fields), fields.numberOr("w", 0), fields.boolean("on")}};
+      ProxyConnected{parseProxyId(fields), parseZone(fields), fields.numberOr("w", 0), fields.boolean("on")}};
 }
 
-Input parseParted(const Fields& fields) { return Event{ProxyDisconnected{proxyOf(fields)}}; }
+Input parseParted(const Fields& fields) { return Event{ProxyDisconnected{parseProxyId(fields)}}; }
 
 Input parseUpstreamStats(const Fields& fields) {
-  return Event{ServerLoadReport{zoneOf(fields), serverId(fields, "server"), totalOf(fields),
-                                failuresOf(fields), durationOf(fields), windowOf(fields)}};
+  return Event{ServerLoadReport{parseZone(fields), serverId(fields, "server"), parseTotal(fields),
+                                parseFailures(fields), parseDuration(fields), parseWindow(fields)}};
 }
 
 Input parseUsage(const Fields& fields) {
-  return Event{ProxyLoadReport{proxyOf(fields), classOf(fields), totalOf(fields), failuresOf(fields),
-                               windowOf(fields)}};
+  return Event{ProxyLoadReport{parseProxyId(fields), parseRequestClass(fields), parseTotal(fields),
+                               parseFailures(fields), parseWindow(fields)}};
 }
 
 Input parseActivity(const Fields& fields) {
-  return Event{SliceLoadReport{tableOf(fields), classOf(fields), totalOf(fields), failuresOf(fields),
-                               windowOf(fields)}};
+  return Event{SliceLoadReport{parseTableId(fields), parseRequestClass(fields), parseTotal(fields),
+                               parseFailures(fields), parseWindow(fields)}};
 }
 
 Input parseCharge(const Fields& fields) {
-  return Event{SliceAssignment{tableOf(fields), fields.boolean("on")}};
+  return Event{SliceAssignment{parseTableId(fields), fields.boolean("on")}};
 }
 
 Input parseOnRecord(const Fields& fields) {
-  return Event{StoredRoute{tableOf(fields), serverId(fields, "server"), fields.number("w")}};
+  return Event{StoredRoute{parseTableId(fields), serverId(fields, "server"), fields.number("w")}};
 }
 
 Input parseTookEffect(const Fields& fields) {
   UpdateAcknowledged acknowledgement;
-  acknowledgement.proxy = proxyOf(fields);
+  acknowledgement.proxy = parseProxyId(fields);
   acknowledgement.updateId = static_cast<int>(fields.integer("rev", 0, kUpdateIdMax));
-  acknowledgement.delay = durationOf(fields);
+  acknowledgement.delay = parseDuration(fields);
   return Event{acknowledgement};
 }
 
@@ -156,7 +158,7 @@
 
 Input parseInput(const Value& value, const std::string& where) {
   if (!value.IsObject() || value.MemberCount() != 1)
-    fail(where, "an event is not an object with a single key");
+    fail(where, "an event must be an object with a single key");
   const auto& member = *value.MemberBegin();
   const std::string name(member.name.GetString(), member.name.GetStringLength());
   const auto parser = parsers().find(name);
--- a/src/wire/event_parser.h
+++ b/src/wire/event_parser.h
@@ -1,4 +1,4 @@
-/// Events of the simulator's wire.
+/// Parser for the events of the simulator protocol.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace peargrade::wire {
 
-/// Parses an object with a single key, the event's name. `where`: the place that errors name. Throws
-/// ParseError.
+/// Parses a JSON object with a single key, the event's wire name. `where`: the location to name in errors.
+/// Throws ParseError.
 Input parseInput(const Value& value, const std::string& where);
 
 }  // namespace peargrade::wire
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -12,7 +12,7 @@
 }
 
 void parseJson(rapidjson::Document& document, const std::string& bytes, const std::string& where) {
-  // Iterative: deep nesting must not exhaust the stack.
+  // Parse iteratively, so that deeply nested input cannot exhaust the stack.
   constexpr unsigned kFlags = rapidjson::kParseFullPrecisionFlag | rapidjson::kParseValidateEncodingFlag |
                               rapidjson::kParseIterativeFlag;
   document.Parse<kFlags>(bytes.data(), bytes.size());
@@ -65,7 +65,7 @@
 bool Fields::boolean(const char* name) const {
   const Value* value = optional(name);
   if (value == nullptr) return false;
-  if (!value->IsBool()) failField(name, "is not true or false");
+  if (!value->IsBool()) failField(name, "is not a boolean");
   return value->GetBool();
 }
 
@@ -81,8 +81,10 @@
 
 std::int64_t Fields::checkInteger(const Value& value, const char* name, std::int64_t min,
                                   std::int64_t max) const {
-  if (!value.IsInt64()) failField(name, "is not a whole number");
-  if (value.GetInt64() < min || value.GetInt64() > max) failField(name, "is out of range");
+  if (!value.IsInt64()) failField(name, "is not an integer");
+  if (value.GetInt64() < min || value.GetInt64() > max)
+    failField(name, "is out of range: expected " + std::to_string(min) + " to " + std::to_string(max) +
+                        ", found " + std::to_string(value.GetInt64()));
   return value.GetInt64();
 }
 
@@ -92,7 +94,7 @@
 }
 
 std::string Fields::checkText(const Value& value, const char* name) const {
-  if (!value.IsString()) failField(name, "is not a text");
+  if (!value.IsString()) failField(name, "is not a string");
   return {value.GetString(), value.GetStringLength()};
 }
 
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -1,5 +1,5 @@
-/// Checked access to JSON from outside, shared by all JSON codecs. Every error is a ParseError that names the
-/// place and the field, as in "batch 12: supervisor 3: upstreamStats: 'total' is missing".
+/// Checked access to the fields of untrusted JSON, shared by all JSON parsers. Every error is a ParseError
+/// that names the location and the field, as in "batch 12: supervisor 3: upstreamStats: 'total' is missing".
 #pragma once
 
 #include <rapidjson/document.h>
@@ -15,32 +15,34 @@
 
 using rapidjson::Value;
 
-/// Largest count or index that a message may carry.
+/// Maximum value of a count or an index in a message.
 inline constexpr std::int64_t kIntMax = 2147483647;
-/// Largest time, duration or version that a message may carry.
+/// Maximum value of a time, a duration or a version in a message.
 inline constexpr std::int64_t kMicrosMax = INT64_MAX;
-/// Largest number of a proxy.
+/// Maximum proxy id.
 inline constexpr std::int64_t kProxyMax = 65535;
-/// Largest number of a routing table; it stands for all tables.
+/// Maximum id of a routing table; this id denotes all tables.
 inline constexpr std::int64_t kTableMax = 65535;
 
-/// Throws ParseError with the code InvalidMessage.
+/// Throws ParseError with the code InvalidMessage. `where`: location of the error. `what`: description.
 [[noreturn]] void fail(const std::string& where, const std::string& what);
 
-/// Parses `bytes` into `document`. Throws ParseError with the code InvalidJson.
+/// Parses `bytes` into `document`. Throws ParseError with the code InvalidJson, which gives `where` as the
+/// location.
 void parseJson(rapidjson::Document& document, const std::string& bytes, const std::string& where);
 
-/// The fields of one JSON object. A null counts as absent. Each accessor throws ParseError if the field has
-/// another type, is out of range, or is absent where it is required; the `...Or` accessors return `fallback`
-/// for an absent one. Refers to the value that it was made from.
+/// Typed access to the fields of one JSON object. A field whose value is null counts as absent. Each accessor
+/// throws ParseError if the field has the wrong type, is out of range, or is required but absent; the `...Or`
+/// accessors return `fallback` if the field is absent. Holds a reference to the JSON value, which must
+/// outlive it.
 class Fields {
  public:
-  /// `where`: the place that errors name. Throws ParseError if `value` is no object.
+  /// `where`: the location to name in errors. Throws ParseError if `value` is not an object.
   Fields(const Value& value, std::string where);
 
   const std::string& where() const { return where_; }
 
-  /// Null for an absent field.
+  /// Returns null if the field is absent.
   const Value* optional(const char* name) const;
   const Value& required(const char* name) const;
   /// `min` and `max` are inclusive.
@@ -51,11 +53,11 @@
   double numberOr(const char* name, double fallback) const;
   std::string text(const char* name) const;
   std::string textOr(const char* name, const char* fallback) const;
-  /// An absent field is false.
+  /// Returns false if the field is absent.
   bool boolean(const char* name) const;
   const Value& array(const char* name) const;
 
-  /// Throws ParseError with "'name' PROBLEM".
+  /// Throws ParseError with the text "'<name>' <problem>".
   [[noreturn]] void failField(const char* name, const std::string& problem) const;
 
  private:
@@ -67,10 +69,11 @@
   std::string where_;
 };
 
-/// A server's id: printable ASCII without spaces, quotes and backslashes.
+/// Returns the server id in a field: non-empty, printable ASCII without spaces, double quotes and
+/// backslashes.
 std::string serverId(const Fields& fields, const char* name);
 
-/// The value that stands for the field's word in `words`.
+/// Maps the string in a field to a value. `words`: the allowed strings and their values.
 template <class T>
 T oneOf(const Fields& fields, const char* name, const std::map<std::string, T>& words) {
   const auto found = words.find(fields.text(name));
--- a/src/wire/hex.h
+++ b/src/wire/hex.h
@@ -1,4 +1,4 @@
-/// Bytes as hexadecimal digits.
+/// Conversion between bytes and hexadecimal digits.
 #pragma once
 
 #include <optional>
@@ -6,10 +6,11 @@
 
 namespace peargrade::wire {
 
-/// Two lower-case digits a byte.
+/// Encodes each byte as two lower-case digits.
 std::string toHex(const std::string& bytes);
 
-/// The bytes that `digits` stand for, in either case; nothing if they are not pairs of hexadecimal digits.
+/// Decodes `digits`, which may be lower or upper case. Returns nullopt if they are not pairs of hexadecimal
+/// digits.
 std::optional<std::string> fromHex(const std::string& digits);
 
 }  // namespace peargrade::wire
--- a/src/wire/settings_parser.cpp
+++ b/src/wire/settings_parser.cpp
@@ -33,7 +33,7 @@
   return AdmissionUnit::Unsupported;
 }
 
-// Classes beyond the list, and entries that are no booleans, are reads.
+// Request classes without an entry in the list, or whose entry is not a boolean, count as reads.
 void parseWriteClasses(const Fields& fields, Settings& settings) {
   if (fields.optional("mutating") == nullptr) return;
   const Value& flags = fields.array("mutating");
--- a/src/wire/settings_parser.h
+++ b/src/wire/settings_parser.h
@@ -1,4 +1,4 @@
-/// The settings object as the simulator's wire (`info`) and a configuration (`settings`) carry it.
+/// Parser for the settings object of the simulator protocol (`info`) and of configuration files (`settings`).
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace peargrade::wire {
 
-/// Translates the wire's names and units; unknown fields are ignored. `where`: the place that errors name.
-/// Throws ParseError.
+/// Translates wire names and units; ignores unknown fields. `where`: the location to name in errors. Throws
+/// ParseError.
 Settings parseSettings(const Value& value, const std::string& where);
 
 }  // namespace peargrade::wire
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -1,4 +1,5 @@
-// Whole batches and replies: their form, every action, and errors that name the place and the field.
+// The codec of batches and replies: their form, every action, and errors that name the location and the
+// field.
 #include "wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -9,14 +10,14 @@
 namespace {
 
 TEST(ParseBatch, ReadsAnEmptyBatch) {
-  const Batch b = parseBatch(R"({"wallUs":8412250,"turn":1,"groups":[]})");
-  EXPECT_EQ(b.now, 8412250);
-  EXPECT_EQ(b.turn, 1);
-  EXPECT_TRUE(b.groups.empty());
+  const Batch parsed = parseBatch(R"({"wallUs":8412250,"turn":1,"groups":[]})");
+  EXPECT_EQ(parsed.now, 8412250);
+  EXPECT_EQ(parsed.sequenceNumber, 1);
+  EXPECT_TRUE(parsed.groups.empty());
   EXPECT_EQ(writeReply({1, {}}), R"({"turn":1,"groups":[]})");
 }
 
-TEST(WriteReply, WritesEveryActionInTheFormOfTheWire) {
+TEST(WriteReply, WritesEveryActionInItsWireForm) {
   Reply reply{12,
               {{3,
                 {SetTimer{500000, "sweep"}, WatchEndpoints{true}, PollEndpoints{}, HealthCheck{"s_a"},
@@ -48,7 +49,7 @@
   const char* error;
 };
 
-// The error without what cannot stand in the name of a test.
+// Builds a test name from the expected error, without the characters that test names must not contain.
 std::string caseName(const testing::TestParamInfo<MalformedBatch>& info) {
   std::string name = std::to_string(info.index) + "_";
   for (const char* c = info.param.error; *c != 0; ++c) {
@@ -59,7 +60,7 @@
 
 class ParseBatchError : public testing::TestWithParam<MalformedBatch> {};
 
-TEST_P(ParseBatchError, NamesThePlaceAndTheField) {
+TEST_P(ParseBatchError, NamesTheLocationAndTheField) {
   const std::string actual = parseError(GetParam().line);
   EXPECT_NE(actual.find(GetParam().error), std::string::npos) << "error: " << actual;
 }
@@ -88,10 +89,10 @@
             "'sidecar' is out of range"},
         MalformedBatch{
             R"({"turn":9,"wallUs":1,"groups":[{"supervisor":2,"input":[{"parted":{"sidecar":1.5}}]}]})",
-            "'sidecar' is not a whole number"},
+            "'sidecar' is not an integer"},
         MalformedBatch{
             R"({"turn":9,"wallUs":1,"groups":[{"supervisor":2,"input":[{"charge":{"tbl":1,"on":3}}]}]})",
-            "'on' is not true or false"},
+            "'on' is not a boolean"},
         MalformedBatch{
             R"({"turn":9,"wallUs":1,"groups":[{"supervisor":2,"input":[{"echo":{"server":"","ending":1}}]}]})",
             "'server' is not a server id"},
@@ -109,7 +110,7 @@
             "'entries' is missing"},
         MalformedBatch{
             R"({"turn":9,"wallUs":1,"groups":[{"supervisor":2,"input":[{"message":{"originPeer":1,"octets":"6"}}]}]})",
-            "'octets' is not hex digits"},
+            "'octets' is not a string of hexadecimal digit pairs"},
         MalformedBatch{
             R"({"turn":9,"wallUs":1,"groups":[{"supervisor":2,"input":[{"newInstance":{"randomSeed":1}}]}]})",
             "'info' is missing"},
--- a/tests/wire/sample_batch.h
+++ b/tests/wire/sample_batch.h
@@ -1,12 +1,12 @@
-// Batches in the form of the simulator's wire.
+// Sample batches in the form of the simulator protocol.
 #pragma once
 
 #include <string>
 
 namespace peargrade::wire {
 
-// A batch with the number 12 that holds `events` for one instance.
-inline std::string batch(const std::string& events, int supervisor = 3) {
+// Returns batch 12 with `events`, a comma-separated list of JSON events, for one instance.
+inline std::string makeBatch(const std::string& events, int supervisor = 3) {
   return R"({"wallUs":1000,"turn":12,"groups":[{"supervisor":)" + std::to_string(supervisor) +
          R"(,"input":[)" + events + "]}]}";
 }
--- a/tests/wire/settings_parser_test.cpp
+++ b/tests/wire/settings_parser_test.cpp
@@ -1,4 +1,4 @@
-// Settings of the simulator's wire, as a starting instance receives them.
+// The parser of the settings in a `newInstance` event.
 #include "wire/settings_parser.h"
 
 #include <gtest/gtest.h>
@@ -18,9 +18,9 @@
     R"("rules":{"drainGraceUs":2800000,"startCapacity":0.15,"warmAfterUs":16000000},"newKey":{"a":1}})";
 
 TEST(ParseSettings, TranslatesFieldsAndIgnoresUnknownOnes) {
-  const Batch b = parseBatch(
-      batch(R"({"newInstance":{"randomSeed":18446744073709551615,"info":)" + std::string(kInfo) + "}}"));
-  const auto& start = std::get<NewInstance>(b.groups[0].input[0]);
+  const Batch parsed = parseBatch(
+      makeBatch(R"({"newInstance":{"randomSeed":18446744073709551615,"info":)" + std::string(kInfo) + "}}"));
+  const auto& start = std::get<NewInstance>(parsed.groups[0].inputs[0]);
   EXPECT_EQ(start.seed, 18446744073709551615ull);
   ASSERT_EQ(start.settings.classes.size(), 2u);
   EXPECT_EQ(start.settings.classes[0].latencyObjective, 800000);
@@ -48,8 +48,8 @@
   const std::string rules = "\"rules\":{";
   ASSERT_NE(info.find(rules), std::string::npos);
   info.insert(info.find(rules) + rules.size(), "\"goneIsAdvice\":true,");
-  const Batch b = parseBatch(batch(R"({"newInstance":{"randomSeed":1,"info":)" + info + "}}"));
-  EXPECT_TRUE(std::get<NewInstance>(b.groups[0].input[0]).settings.removalIsAdvisory);
+  const Batch parsed = parseBatch(makeBatch(R"({"newInstance":{"randomSeed":1,"info":)" + info + "}}"));
+  EXPECT_TRUE(std::get<NewInstance>(parsed.groups[0].inputs[0]).settings.removalIsAdvisory);
 }
 
 }  // namespace
--- a/tests/wire/simulator_adapter_test.cpp
+++ b/tests/wire/simulator_adapter_test.cpp
@@ -1,5 +1,5 @@
-// The simulator adapter: many instances by number, nothing shared, and an error with exit code 1 on bad
-// input.
+// The simulator adapter: independent instances identified by number, and exit code 1 with an error message on
+// invalid input.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -48,7 +48,7 @@
   EXPECT_EQ(run("{\"wallUs\":5,\"turn\":1,\"groups\":[]}\n").out, "{\"turn\":1,\"groups\":[]}\n");
 }
 
-TEST(SimulatorAdapter, InstancesActAlikeAloneAndTogether) {
+TEST(SimulatorAdapter, InstancesActTheSameAloneAndTogether) {
   const std::string head = R"({"wallUs":5,"turn":1,"groups":[)";
   const RunResult first = run(head + start(1, 7) + "]}\n");
   const RunResult second = run(head + start(2, 8) + "]}\n");
@@ -61,16 +61,17 @@
   EXPECT_EQ(both.out, "{\"turn\":1,\"groups\":[" + group(first.out) + "," + group(second.out) + "]}\n");
 }
 
-TEST(SimulatorAdapter, RejectsAnEventForAnUnknownInstance) {
+TEST(SimulatorAdapter, RejectsAnEventForAnInstanceThatIsNotRunning) {
   const RunResult result = run(
       "{\"wallUs\":5,\"turn\":4,\"groups\":[{\"supervisor\":9,\"input\":[{\"parted\":{\"sidecar\":1}}]}]}\n");
   EXPECT_EQ(result.code, 1);
   EXPECT_EQ(result.out, "");
-  EXPECT_NE(result.err.find("batch 4: supervisor 9: event for an unknown instance"), std::string::npos)
+  EXPECT_NE(result.err.find("batch 4: supervisor 9: event for an instance that is not running"),
+            std::string::npos)
       << result.err;
 }
 
-TEST(SimulatorAdapter, ARetiredInstanceIsUnknownUntilItStartsAgain) {
+TEST(SimulatorAdapter, RejectsEventsOfARetiredInstanceUntilItStartsAgain) {
   const std::string head = "{\"wallUs\":5,\"turn\":1,\"groups\":[";
   const std::string retire =
       "{\"wallUs\":6,\"turn\":2,\"groups\":[{\"supervisor\":1,\"input\":[{\"retire\":{}}]}]}\n";
