--- a/src/net/address.h
+++ b/src/net/address.h
@@ -11,13 +11,14 @@
 
 /// An IPv4 address and a port, as in "127.0.0.1:3000".
 struct Address {
-  std::string host;  ///< Dotted decimal; host names would need a resolver.
+  std::string host;  ///< In dotted decimal form. Host names are not supported, because they need a resolver.
   std::uint16_t port = 0;
 
-  /// Parses "HOST:PORT"; nothing if either part is malformed.
+  /// Parses "HOST:PORT". Returns nullopt if either part is malformed.
   static std::optional<Address> parse(const std::string& text);
-  /// The form that parse() reads.
+  /// Returns "HOST:PORT", the format that parse() reads.
   std::string text() const { return host + ":" + std::to_string(port); }
+  /// The address as the socket functions take it, in network byte order.
   sockaddr_in socket() const;
 };
 
--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -1,4 +1,4 @@
-/// Exponential backoff between attempts to connect.
+/// Exponential backoff between connection attempts.
 #pragma once
 
 #include <cstdint>
@@ -8,22 +8,25 @@
 
 namespace peargrade::net {
 
-/// Waits that double after each failure, with jitter so that peers do not reconnect in step.
+/// Computes delays that double after each failed attempt, with jitter so that clients do not reconnect at the
+/// same moment.
 class Backoff {
  public:
-  /// `initial` and `max` bound the wait before jitter, in microseconds. `seed` determines the jitter.
+  /// `initial` and `max`: first and largest upper bound of a delay, in microseconds. `seed`: seed of the
+  /// jitter.
   Backoff(Micros initial, Micros max, std::uint64_t seed)
       : initial_(initial), max_(max), current_(initial), random_(seed) {}
 
-  /// The next wait in microseconds: between half of the current bound and all of it. Doubles the bound.
+  /// Returns the next delay in microseconds, between half of the current upper bound and the bound itself.
+  /// Then doubles the bound, up to `max`.
   Micros next();
-  /// Starts again from the initial wait; called after a success.
+  /// Resets the bound to `initial`. To be called after a successful attempt.
   void reset() { current_ = initial_; }
 
  private:
   Micros initial_;
   Micros max_;
-  Micros current_;
+  Micros current_;  // upper bound of the next delay
   std::mt19937_64 random_;
 };
 
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,11 +1,11 @@
-/// The clock for waits and ages.
+/// The clock for delays, timeouts and ages.
 #pragma once
 
 #include "peargrade/types.h"
 
 namespace peargrade::net {
 
-/// Microseconds of a monotonic clock with an arbitrary origin.
+/// Returns the time of a monotonic clock with an arbitrary origin, in microseconds.
 Micros steadyNow();
 
 }  // namespace peargrade::net
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -10,11 +10,11 @@
 namespace peargrade::net {
 namespace {
 
-constexpr int kRandomPortAttempts = 16;  // then the system chooses
+constexpr int kRandomPortAttempts = 16;  // if all fail, the system chooses the port
 constexpr std::uint32_t kPortMin = 1024;
 constexpr std::uint32_t kPortCount = 65536 - kPortMin;
 constexpr std::size_t kDatagramMax = 65536;  // bytes
-constexpr int kReadsPerTurn = 16;            // datagrams read before other sockets have their turn
+constexpr int kReadsPerTurn = 16;  // datagrams read per event, so that other sockets are not delayed
 
 }  // namespace
 
@@ -64,7 +64,8 @@
 }
 
 void Datagram::read() {
-  // A callback may destroy this object. The handlers show it: only the copy held here is left of them then.
+  // A callback may destroy this object, and with it handlers_. The local shared pointer keeps the handlers
+  // alive during the call; if it is then the only reference, the object has been destroyed.
   const std::weak_ptr<Handlers> ownersHandlers = handlers_;
   std::string bytes;
   for (int reads = 0; reads < kReadsPerTurn; ++reads) {
--- a/src/net/datagram.h
+++ b/src/net/datagram.h
@@ -1,4 +1,4 @@
-/// UDP sockets of the event loop.
+/// UDP sockets for the event loop.
 #pragma once
 
 #include <cstdint>
@@ -17,21 +17,23 @@
  public:
   /// The owner may destroy the Datagram in either callback.
   struct Handlers {
-    /// One datagram has arrived.
+    /// Called with the payload of each datagram received.
     std::function<void(const std::string&)> data;
-    /// The address refuses datagrams, or the socket failed.
-    std::function<void(const std::string& why)> failed;
+    /// Called if the remote host reports the port as unreachable, or if the socket fails.
+    std::function<void(const std::string& error)> failed;
   };
-  /// `random` chooses the source port. Without a usable socket, send() returns false.
+  /// `random`: source of random numbers for the source port. If no usable socket can be created, send()
+  /// returns false.
   Datagram(event_base* base, const Address& to, const std::function<std::uint32_t()>& random,
            Handlers handlers);
   ~Datagram();
   Datagram(const Datagram&) = delete;
   Datagram& operator=(const Datagram&) = delete;
 
-  /// False without a socket, or if it does not take the datagram whole and at once.
+  /// Sends one datagram without blocking. Returns false if there is no socket or the datagram could not be
+  /// sent.
   bool send(const std::string& bytes);
-  /// The source port; 0 without a socket.
+  /// The source port, or 0 if there is no socket.
   std::uint16_t port() const;
 
  private:
--- a/src/net/handles.h
+++ b/src/net/handles.h
@@ -1,4 +1,4 @@
-/// Owning handles for libevent objects, and helpers for wrappers round them.
+/// Owning handles for libevent objects, and helpers for the classes that wrap them.
 #pragma once
 
 #include <event2/buffer.h>
@@ -27,17 +27,17 @@
 using BufferHandle = std::unique_ptr<bufferevent, Freed<bufferevent_free>>;
 using ListenerHandle = std::unique_ptr<evconnlistener, Freed<evconnlistener_free>>;
 
-/// A new event loop. Throws std::bad_alloc.
+/// Creates an event loop. Throws std::bad_alloc on failure.
 EventBase makeBase();
 
-/// `handle`, or std::bad_alloc if libevent could not create it.
+/// Returns `handle`. Throws std::bad_alloc if it is null, that is, if libevent could not create the object.
 template <class T>
 T* requireHandle(T* handle) {
   if (handle == nullptr) throw std::bad_alloc();
   return handle;
 }
 
-/// `duration` in microseconds; a negative one counts as 0.
+/// Converts a duration in microseconds. A negative duration becomes 0.
 timeval toTimeval(Micros duration);
 
 }  // namespace peargrade::net
--- a/src/net/idle_timeout.cpp
+++ b/src/net/idle_timeout.cpp
@@ -5,12 +5,12 @@
 namespace peargrade::net {
 namespace {
 
-constexpr Micros kGracePeriod = 10000;  // 10 ms, for input that is already waiting
+constexpr Micros kGracePeriod = 10000;  // 10 ms, to process input that has already arrived
 
 }  // namespace
 
-IdleTimeout::IdleTimeout(event_base* base, std::function<void()> expired)
-    : expired_(std::move(expired)), timer_(base, [this] { onTimer(); }) {}
+IdleTimeout::IdleTimeout(event_base* base, std::function<void()> onExpired)
+    : onExpired_(std::move(onExpired)), timer_(base, [this] { onTimer(); }) {}
 
 void IdleTimeout::schedule(Micros duration) {
   inGracePeriod_ = false;
@@ -19,7 +19,7 @@
 
 void IdleTimeout::onTimer() {
   if (inGracePeriod_) {
-    expired_();
+    onExpired_();
     return;
   }
   inGracePeriod_ = true;
--- a/src/net/idle_timeout.h
+++ b/src/net/idle_timeout.h
@@ -1,4 +1,4 @@
-/// Detection of silent peers.
+/// Idle timeout for connections.
 #pragma once
 
 #include <functional>
@@ -7,21 +7,23 @@
 
 namespace peargrade::net {
 
-/// A limit on a peer's silence. On expiry, input that is already waiting gets one more turn of the loop:
-/// after a pause of this process, the pause must not count as the peer's silence.
+/// Detects a peer that sends nothing for a given time. When the time is over, a short grace period lets the
+/// event loop process input that has already arrived: a pause of this process must not count as the peer
+/// being idle.
 class IdleTimeout {
  public:
-  IdleTimeout(event_base* base, std::function<void()> expired);
+  /// `onExpired`: called when the timeout expires.
+  IdleTimeout(event_base* base, std::function<void()> onExpired);
 
-  /// Expires after `duration` microseconds from now, in place of an earlier schedule. The owner calls it on
-  /// input.
+  /// Starts or restarts the timeout, to expire `duration` microseconds from now. The owner calls it whenever
+  /// input arrives.
   void schedule(Micros duration);
   void cancel() { timer_.cancel(); }
 
  private:
   void onTimer();
 
-  std::function<void()> expired_;
+  std::function<void()> onExpired_;
   bool inGracePeriod_ = false;
   Timer timer_;
 };
--- a/src/net/line_splitter.h
+++ b/src/net/line_splitter.h
@@ -1,4 +1,4 @@
-/// Line-based protocols: a byte stream as lines.
+/// Framing of line-based protocols.
 #pragma once
 
 #include <cstddef>
@@ -9,10 +9,10 @@
 /// Splits a byte stream, received in pieces of any size, into lines that end with LF or CRLF.
 class LineSplitter {
  public:
-  /// `longest`: bytes of a line without its end; see tooLong().
-  explicit LineSplitter(std::size_t longest) : longest_(longest) {}
+  /// `maxLineBytes`: maximum length of a line without its terminator, in bytes; see tooLong().
+  explicit LineSplitter(std::size_t maxLineBytes) : maxLineBytes_(maxLineBytes) {}
 
-  /// Appends bytes as received.
+  /// Appends received bytes to the buffer.
   void add(const char* bytes, std::size_t size) {
     buffer_.erase(0, consumed_);
     searched_ -= consumed_;
@@ -20,7 +20,7 @@
     buffer_.append(bytes, size);
   }
 
-  /// Extracts the next complete line, without its end; false if there is none.
+  /// Extracts the next complete line, without its terminator. Returns false if there is none.
   bool next(std::string& line) {
     const std::size_t end = buffer_.find('\n', searched_);
     if (end == std::string::npos) {
@@ -34,14 +34,14 @@
     return true;
   }
 
-  /// After next() returned false: whether the incomplete line exceeds the limit.
-  bool tooLong() const { return buffer_.size() - consumed_ > longest_; }
+  /// Whether the incomplete line exceeds the limit. Valid after next() has returned false.
+  bool tooLong() const { return buffer_.size() - consumed_ > maxLineBytes_; }
 
  private:
-  std::size_t longest_;
+  std::size_t maxLineBytes_;
   std::string buffer_;
-  std::size_t consumed_ = 0;  // bytes already returned
-  std::size_t searched_ = 0;  // bytes known to hold no further line end
+  std::size_t consumed_ = 0;  // bytes at the start of buffer_ that were already returned
+  std::size_t searched_ = 0;  // offset in buffer_ from which to search for the next LF
 };
 
 }  // namespace peargrade::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -10,7 +10,7 @@
 namespace peargrade::net {
 namespace {
 
-constexpr int kBacklog = 512;                // connections that the kernel queues
+constexpr int kBacklog = 512;                // maximum connections in the kernel's accept queue
 constexpr Micros kPauseAfterError = 100000;  // 0.1 s
 constexpr unsigned kListenerOptions = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
 
@@ -41,7 +41,8 @@
     address_.port = ntohs(native.sin_port);
 }
 
-// Without the bound, libevent accepts all queued connections in one turn.
+// libevent would accept all queued connections in one iteration. The listener is therefore disabled when the
+// limit is reached, and enabled again in the next iteration.
 void Listener::onAccept(evconnlistener* handle, evutil_socket_t socket, sockaddr* from, int, void* self) {
   auto* listener = static_cast<Listener*>(self);
   if (listener->acceptedThisTurn_ == 0) listener->nextTurn_.schedule(0);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-/// TCP listening sockets of the event loop.
+/// TCP listening sockets for the event loop.
 #pragma once
 
 #include <functional>
@@ -10,23 +10,24 @@
 
 namespace peargrade::net {
 
-/// Accepts TCP connections, a bounded number per turn of the loop so that a flood leaves others their turn.
-/// After a failed accept, for instance without a free descriptor, it pauses; the kernel queues connections
-/// meanwhile.
+/// Accepts TCP connections, at most a given number per event loop iteration, so that a flood of connections
+/// does not delay other events. After a failed accept, for example because no file descriptor is free, the
+/// listener pauses; the kernel queues connections in the meantime.
 class Listener {
  public:
   struct Handlers {
-    /// A connection was accepted; the handler owns the socket. `peer`: its address and port, for log lines.
+    /// Called for each accepted connection; takes ownership of the socket. `peer`: the peer's address and
+    /// port, for log lines.
     std::function<void(evutil_socket_t socket, const std::string& peer)> accepted;
-    /// An accept failed.
+    /// Called after a failed accept.
     std::function<void(const std::string& error)> failed;
   };
-  /// Port 0 lets the system choose. Throws std::runtime_error if the address cannot be listened on.
+  /// Listens on `address`; port 0 selects a free port. Throws std::runtime_error if it cannot listen there.
   Listener(event_base* base, const Address& address, std::size_t acceptsPerTurn, Handlers handlers);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  /// The address listened on, with the port in use.
+  /// The address that the socket listens on, with the actual port.
   const Address& address() const { return address_; }
 
  private:
--- a/src/net/net.h
+++ b/src/net/net.h
@@ -1,4 +1,4 @@
-/// All of the net package but datagrams, the listener and the line splitter.
+/// Umbrella header of the net package, without datagrams, the listener and the line splitter.
 #pragma once
 
 #include "net/address.h"
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -26,7 +26,8 @@
   start();
   const timeval limit = toTimeval(connectTimeout);
   bufferevent_set_timeouts(buffer_.get(), nullptr, &limit);
-  // An immediate failure, such as no free descriptor, is reported through onEvent too.
+  // The result can be ignored: an immediate failure, such as no free descriptor, is reported to onEvent as
+  // well.
   bufferevent_socket_connect(buffer_.get(), reinterpret_cast<sockaddr*>(&address), sizeof address);
 }
 
@@ -47,7 +48,7 @@
 
 void Stream::flush() {
   evbuffer* const output = bufferevent_get_output(buffer_.get());
-  // A bufferevent freezes its output against writes by others than itself.
+  // A bufferevent freezes its output buffer, so that only the bufferevent itself can drain it.
   evbuffer_unfreeze(output, 1);
   if (evbuffer_get_length(output) > 0) evbuffer_write(output, bufferevent_getfd(buffer_.get()));
   evbuffer_freeze(output, 1);
@@ -70,7 +71,7 @@
 
 std::size_t Stream::unsent() const { return evbuffer_get_length(bufferevent_get_output(buffer_.get())); }
 
-// The handlers are held by a copy: they outlive the Stream if a callback destroys it.
+// The local copy of the shared pointer keeps the handlers alive if a callback destroys the Stream.
 void Stream::onRead(bufferevent* buffer, void* self) {
   const auto handlers = static_cast<Stream*>(self)->handlers_;
   if (handlers->data) handlers->data(bufferevent_get_input(buffer));
@@ -87,7 +88,7 @@
     return;
   }
   const int error = EVUTIL_SOCKET_ERROR();
-  const bool connecting = !stream->up_;
+  const bool wasConnecting = !stream->up_;
   bufferevent_disable(buffer, EV_READ | EV_WRITE);
   if (!handlers->end) return;
   if ((events & BEV_EVENT_TIMEOUT) != 0)
@@ -95,7 +96,7 @@
   else if ((events & BEV_EVENT_EOF) != 0)
     handlers->end(log::CloseReason::PeerClosed, "");
   else
-    handlers->end(connecting ? log::CloseReason::Refused : log::CloseReason::Reset, std::strerror(error));
+    handlers->end(wasConnecting ? log::CloseReason::Refused : log::CloseReason::Reset, std::strerror(error));
 }
 
 }  // namespace peargrade::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,4 @@
-/// TCP connections of the event loop.
+/// TCP connections for the event loop.
 #pragma once
 
 #include <functional>
@@ -11,19 +11,21 @@
 
 namespace peargrade::net {
 
-/// One TCP connection, outgoing or accepted. Callbacks run on the loop's thread; in any of them the owner may
-/// destroy the Stream, which closes the connection.
+/// One TCP connection, outgoing or accepted. Callbacks run on the event loop's thread. The owner may destroy
+/// the Stream in any callback; destruction closes the connection.
 class Stream {
  public:
   struct Handlers {
-    /// An outgoing connection is established.
+    /// Called when an outgoing connection is established.
     std::function<void()> up;
-    /// Input has arrived. The handler drains what it uses.
+    /// Called when input has arrived. The handler removes the bytes that it has processed.
     std::function<void(evbuffer*)> data;
-    /// The connection has ended, with a detail for the log. Called at most once, as the last callback.
+    /// Called when the connection has ended, with the reason and a detail for the log. Called at most once,
+    /// as the last callback.
     std::function<void(log::CloseReason, const std::string&)> end;
   };
-  /// Connects to `to`; fails with ConnectTimeout after `connectTimeout` microseconds.
+  /// Connects to `to`. If that takes longer than `connectTimeout` microseconds, the connection ends with
+  /// ConnectTimeout.
   Stream(event_base* base, const Address& to, Micros connectTimeout, Handlers handlers);
   /// Takes ownership of a connected socket.
   Stream(event_base* base, evutil_socket_t socket, Handlers handlers);
@@ -32,23 +34,23 @@
 
   /// Whether the connection is established.
   bool up() const { return up_; }
-  /// Queues bytes for sending.
+  /// Queues bytes; the event loop sends them.
   void send(const std::string& bytes);
-  /// Writes queued bytes at once, as far as the socket takes them without waiting. For use before
-  /// destruction.
+  /// Writes queued bytes now, as many as the socket accepts without blocking. For use before destruction,
+  /// because the event loop no longer sends them afterwards.
   void flush();
-  /// Flushes and closes the sending half; the peer reads end of stream after the last byte. False, and
-  /// nothing is closed, if some bytes could not be written.
+  /// Flushes and closes the sending half, so that the peer reads end of stream after the last byte. Returns
+  /// false and leaves the connection open if some bytes could not be written.
   bool halfClose();
-  /// Queued bytes that the socket has not taken yet.
+  /// Number of queued bytes that have not been written to the socket yet.
   std::size_t unsent() const;
 
-  /// What the socket holds that was not read yet.
+  /// State of the socket's receive buffer: empty, unread bytes, or end of stream (also after an error).
   enum class Waiting { Nothing, Bytes, End };
-  /// Costs one system call.
+  /// Checks the receive buffer without reading from it. Costs one system call.
   Waiting waiting() const;
 
-  /// Replaces the handlers. A handler that is being called stays alive until it returns.
+  /// Replaces the handlers. A handler that is running stays alive until it returns.
   void setHandlers(Handlers handlers) { handlers_ = std::make_shared<Handlers>(std::move(handlers)); }
 
  private:
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -4,8 +4,8 @@
 
 namespace peargrade::net {
 
-Timer::Timer(event_base* base, std::function<void()> fired) : fired_(std::move(fired)) {
-  const auto onTimeout = [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->fired_(); };
+Timer::Timer(event_base* base, std::function<void()> onFired) : onFired_(std::move(onFired)) {
+  const auto onTimeout = [](evutil_socket_t, short, void* self) { static_cast<Timer*>(self)->onFired_(); };
   event_.reset(requireHandle(event_new(base, -1, 0, onTimeout, this)));
 }
 
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,4 +1,4 @@
-/// One-shot timers of the event loop.
+/// One-shot timers for the event loop.
 #pragma once
 
 #include <functional>
@@ -7,22 +7,23 @@
 
 namespace peargrade::net {
 
-/// Calls a function once, on the loop's thread. The function may schedule the timer again; it must not
-/// destroy it.
+/// Calls a function once per schedule, on the event loop's thread. The function may schedule the timer again,
+/// but must not destroy it.
 class Timer {
  public:
-  Timer(event_base* base, std::function<void()> fired);
+  Timer(event_base* base, std::function<void()> onFired);
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  /// Fires after `delay` microseconds, in place of an earlier schedule.
+  /// Fires after `delay` microseconds. Replaces an earlier schedule. A negative delay counts as 0.
   void schedule(Micros delay);
+  /// Cancels the schedule, if there is one.
   void cancel();
-  /// Whether it is scheduled and has not fired yet.
+  /// Whether the timer is scheduled and has not fired yet.
   bool isScheduled() const;
 
  private:
-  std::function<void()> fired_;
+  std::function<void()> onFired_;
   EventHandle event_;
 };
 
