--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 constexpr std::size_t kBufferMax = std::size_t{256} << 10;  // bytes
-constexpr std::size_t kLineMax = 2048;                      // bytes, with its end
+constexpr std::size_t kLineMax = 2048;                      // bytes, including the line terminator
 constexpr const char* kLevelNames[] = {"debug", "info", "warn", "error", "off"};
 
-// UTC with milliseconds, as in 2024-05-01T12:00:00.000Z.
+// Formats the current time in UTC with milliseconds, as in 2024-05-01T12:00:00.000Z.
 std::string timestamp() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
@@ -63,7 +63,8 @@
   if (!detail.empty()) text << " (" << detail << ")";
 }
 
-// Text from outside may hold control characters. They are replaced so that a line stays one line.
+// Text from peers may contain control characters, such as line breaks. They are replaced, so that it cannot
+// forge log lines.
 void Log::add(const std::string& text) {
   if (buffer_.size() + kLineMax > kBufferMax) {
     ++dropped_;
@@ -76,17 +77,18 @@
   buffer_.push_back('\n');
 }
 
-// A pipe that poll() reports as writable takes PIPE_BUF bytes without blocking.
+// Writes at most PIPE_BUF bytes at a time: a pipe that poll() reports as writable accepts that many without
+// blocking.
 void Log::flush() {
   std::size_t written = 0;
   while (written < buffer_.size()) {
     pollfd ready{fd_, POLLOUT, 0};
     if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) break;
     const std::size_t size = std::min<std::size_t>(buffer_.size() - written, PIPE_BUF);
-    const ssize_t taken = write(fd_, buffer_.data() + written, size);
-    if (taken < 0 && errno == EINTR) continue;
-    if (taken <= 0) break;
-    written += static_cast<std::size_t>(taken);
+    const ssize_t accepted = write(fd_, buffer_.data() + written, size);
+    if (accepted < 0 && errno == EINTR) continue;
+    if (accepted <= 0) break;
+    written += static_cast<std::size_t>(accepted);
   }
   buffer_.erase(0, written);
   reportDroppedLines();
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-/// Logging with a level filter. Lines go into a bounded buffer and are written only as far as the reader
-/// takes them: a stalled reader loses lines but never delays the program.
+/// Logging with a level filter. Lines are kept in a bounded buffer and written without blocking. If the
+/// reader of the log stalls, lines are dropped; the program is never delayed.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 namespace peargrade::log {
 
-/// In ascending order; Off is a filter that no line passes.
+/// Levels in ascending order. Off is only for the filter: it suppresses all lines.
 enum class Level { Debug, Info, Warn, Error, Off };
 
-/// The level that an option names, for example "warn"; nothing for an unknown name.
+/// Parses the name of a level, for example "warn". Returns nullopt for an unknown name.
 std::optional<Level> levelNamed(const std::string& name);
 
 class Log;
 
-/// One log line under construction, filled with `<<`; its destructor hands it to the log.
+/// Builder of one log line. Text is appended with `<<`; the destructor adds the line to the log.
 class Line {
  public:
-  /// `log`: null for a line that the level filter drops. `part`: the component that logs.
+  /// `log`: null if the level filter suppresses the line. `part`: name of the component that logs.
   Line(Log* log, Level level, const char* part);
   ~Line();
   Line(const Line&) = delete;
@@ -39,17 +39,17 @@
   std::ostringstream text_;
 };
 
-/// The log of the program; used on the event loop's thread.
+/// The program's log. Used on the event loop's thread only.
 class Log {
  public:
-  /// Writes to `fd`, which it does not own, the lines of `level` and above.
+  /// Writes lines of `level` and above to the file descriptor `fd`, which remains owned by the caller.
   explicit Log(int fd, Level level = Level::Info);
-  /// Flushes.
+  /// Flushes the buffer.
   ~Log();
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  /// Whether lines of `level` pass the filter.
+  /// Whether the filter passes lines of `level`.
   bool shows(Level level) const { return level >= level_; }
   Line debug(const char* part) { return line(Level::Debug, part); }
   Line info(const char* part) { return line(Level::Info, part); }
@@ -57,13 +57,14 @@
   Line error(const char* part) { return line(Level::Error, part); }
   Line line(Level level, const char* part) { return Line(shows(level) ? this : nullptr, level, part); }
 
-  /// Writes the line that every connection leaves when it ends. `peer`: its address and role. `detail`: may
-  /// be empty.
+  /// Logs the end of a connection; to be called once for each connection. `peer`: address and role of the
+  /// peer. `detail`: additional text, may be empty.
   void ended(const char* part, const std::string& peer, CloseReason reason, const std::string& detail);
 
-  /// Writes what the reader takes without waiting. Called by the loop after each turn.
+  /// Writes as much of the buffer as is possible without blocking. The event loop calls it after each
+  /// iteration.
   void flush();
-  /// Lines dropped so far because the buffer was full.
+  /// Number of lines dropped so far because the buffer was full.
   std::uint64_t dropped() const { return dropped_; }
 
  private:
