--- a/examples/demo.cpp
+++ b/examples/demo.cpp
@@ -1,6 +1,7 @@
-// A demo fleet on loopback round one supervisor: plays discovery, the relay, one collector and three servers,
-// and prints what it sees: the endpoint list, the first table, a slice that leaves a slow server, and a
-// drain. It makes no load.
+// A demo fleet on loopback for one supervisor. It simulates discovery, the relay, one collector and three
+// servers, and prints changes of the endpoint list, the supervisor's routing updates and the load of each
+// server. The scenario: the supervisor publishes its first routes, moves slices away from a slow server, and
+// drains a server. Load is only reported; no requests are sent.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <csignal>
@@ -21,16 +22,17 @@
 constexpr int kServers = 3;
 constexpr int kProxies = 3;
 constexpr int kSlices = 8;
-constexpr int kDrainAt = 25;         // seconds
-constexpr int kRemovedAt = 32;       // seconds
-constexpr int kSlowFrom = 10;        // seconds, for the server that begins with most of the load
-constexpr int kSlowAbove = 90;       // requests a second
-constexpr double kSlowFactor = 2.2;  // of its latency
-constexpr int kReportEvery = 5;      // seconds between two lines of loads
-constexpr peargrade::Micros kSecond = 1000000;
+constexpr int kDrainAtSeconds = 25;
+constexpr int kRemoveAtSeconds = 32;
+// The server that starts with most of the load is slow after this time, while its load exceeds the threshold.
+constexpr int kSlowAfterSeconds = 10;
+constexpr int kSlowAboveRequestsPerSecond = 90;
+constexpr double kSlowLatencyFactor = 2.2;
+constexpr int kPrintIntervalSeconds = 5;
+constexpr peargrade::Micros kSecond = 1000000;  // in microseconds
 
 const char* const kNames[kServers] = {"s-red", "s-green", "s-blue"};
-// Unbalanced at first: red has half of the slices, the hottest of them.
+// The initial assignment is unbalanced: s-red has half of the slices, the ones with the most heat.
 const char* const kFirstPrimary[kSlices] = {"s-red",   "s-red",   "s-red",  "s-red",
                                             "s-green", "s-green", "s-blue", "s-blue"};
 
@@ -61,7 +63,8 @@
     print() << "list: " << name << " is " << state << std::endl;
   }
 
-  // Every proxy acknowledges an update as soon as it ends.
+  // Prints the update command. Every proxy acknowledges an update as soon as its last command (`fence`)
+  // arrives.
   void onCommand(const std::string& command) {
     const std::string fence = "fence,";
     if (command.compare(0, fence.size(), fence) != 0) {
@@ -72,8 +75,8 @@
       relay_.done(id, std::atoi(command.c_str() + fence.size()), 20);
   }
 
-  // The server of the route with the largest weight.
-  std::string primaryOf(int slice) const {
+  // Returns the primary server of a slice: that of the route with the largest weight.
+  std::string primaryServer(int slice) const {
     std::string primary;
     double largest = 0;
     for (const auto& [host, text] : relay_.slices.at(slice)) {
@@ -92,21 +95,21 @@
       collector_ = std::make_unique<peargrade::fakes::Collector>(base_, config_.listen);
       collector_->send(R"({"type":"telemetry","az":")" + zone() + R"("})");
     }
-    if (seconds_ == kDrainAt) list("s-blue", "DRAINING");
-    if (seconds_ == kRemovedAt) list("s-blue", "DELETED");
+    if (seconds_ == kDrainAtSeconds) list("s-blue", "DRAINING");
+    if (seconds_ == kRemoveAtSeconds) list("s-blue", "DELETED");
     const std::map<std::string, int> load = reportSlices();
     for (const auto& [host, requests] : load) {
       if (!host.empty()) reportServer(host, requests);
     }
-    if (seconds_ % kReportEvery == 0) printLoad(load);
+    if (seconds_ % kPrintIntervalSeconds == 0) printLoad(load);
   }
 
-  // Reports the requests of each slice; returns their sum by server.
+  // Sends the load report of each slice. Returns the sum of requests by server.
   std::map<std::string, int> reportSlices() {
     std::map<std::string, int> load;
     for (const auto& [slice, routes] : relay_.slices) {
       const int requests = 40 - 4 * slice;
-      load[primaryOf(slice)] += requests;
+      load[primaryServer(slice)] += requests;
       collector_->send(R"({"type":"range_stats","partition":)" + std::to_string(slice) + R"(,"kind":")" +
                        config_.names.classes.front() + R"(","n":)" + std::to_string(requests) +
                        R"(,"bad":0,"window":1000.0})");
@@ -115,8 +118,9 @@
   }
 
   void reportServer(const std::string& host, int requests) {
-    const bool slow = host == kNames[0] && seconds_ > kSlowFrom && requests > kSlowAbove;
-    const double latencyMs = (slow ? kSlowFactor : 1) * (60 + requests);
+    const bool slow =
+        host == kNames[0] && seconds_ > kSlowAfterSeconds && requests > kSlowAboveRequestsPerSecond;
+    const double latencyMs = (slow ? kSlowLatencyFactor : 1) * (60 + requests);
     collector_->send(R"({"type":"upstream_stats","az":")" + zone() + R"(","host":")" + host + R"(","n":)" +
                      std::to_string(requests) + R"(,"bad":0,"avg":)" + std::to_string(latencyMs) +
                      R"(,"window":1000.0})");
@@ -125,7 +129,7 @@
   void printLoad(const std::map<std::string, int>& load) {
     print() << "load:";
     for (const auto& [host, requests] : load)
-      std::cout << "  " << (host.empty() ? "nowhere" : host) << " " << requests << "/s";
+      std::cout << "  " << (host.empty() ? "(no server)" : host) << " " << requests << "/s";
     std::cout << std::endl;
   }
 
@@ -138,7 +142,7 @@
   int seconds_ = 0;
 };
 
-void play(const std::string& path, int seconds) {
+void runDemo(const std::string& path, int seconds) {
   const auto config = peargrade::config::load(path, peargrade::config::processEnvironment);
   const auto base = peargrade::net::makeBase();
   DemoFleet fleet(base.get(), config);
@@ -151,15 +155,15 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     CLI::App app(
-        "a demo fleet round one peargrade supervisor: discovery, relay, collector and servers on loopback");
+        "a demo fleet for one peargrade supervisor: discovery, relay, collector and servers on loopback");
     std::string path;
     int seconds = 45;
-    app.add_option("-c,--config", path, "the configuration that the supervisor is started with")
+    app.add_option("-c,--config", path, "configuration file of the supervisor")
         ->envname("NODE_CONFIG")
         ->required();
-    app.add_option("--seconds", seconds, "end after so many seconds")->capture_default_str();
+    app.add_option("--seconds", seconds, "duration of the demo, in seconds")->capture_default_str();
     CLI11_PARSE(app, argc, argv);
-    play(path, seconds);
+    runDemo(path, seconds);
   } catch (const std::exception& e) {
     std::cerr << "peargrade_demo: " << e.what() << '\n';
     return 1;
