--- a/src/sources/commands.h
+++ b/src/sources/commands.h
@@ -1,23 +1,26 @@
-// `peargrade srv lookup` and `peargrade sources explain`: one run each, on standard output.
+// The commands `peargrade srv lookup` and `peargrade sources explain`. Each runs once and prints to standard
+// output.
 #pragma once
 
 #include "sources/source_registry.h"
 
 namespace peargrade::sources {
 
-/// What a lookup came to; the value is the exit code of `peargrade srv lookup`. 2 stands for wrong usage.
+/// Result of a lookup. The value is the exit code of `peargrade srv lookup`; exit code 2 means invalid usage.
 enum class LookupOutcome {
   Found = 0,       // all records of the service
-  NoAnswer = 1,    // no name server could say
+  NoAnswer = 1,    // no name server gave a usable answer
   Partial = 3,     // some records; there may be more
   NoSuchName = 4,  // the name does not exist
-  NoRecords = 5,   // the name exists, the service has no records or is not offered
+  NoRecords = 5,   // the name exists, but the service has no SRV records or is not offered
 };
 
-/// Looks a service up once and prints what was found. Returns the exit code.
-int lookup(const LookupCommand& asked, log::Log& log);
-/// Asks every source once and prints what each says. Exit codes: 0; 2 wrong usage; 3 a source did not answer.
-int explain(const ExplainCommand& asked, const op::Operator& op, const discovery::Names& names,
+/// Looks a service up once and prints the result. Returns the exit code, see LookupOutcome.
+int lookup(const LookupCommand& command, log::Log& log);
+/// Queries every source once and prints, for each server, the entry of every source and the deciding rule.
+/// Returns the exit code: 0: every source answered; 2: invalid usage; 3: a source did not answer within the
+/// timeout.
+int explain(const ExplainCommand& command, const op::Operator& op, const discovery::Names& names,
             log::Log& log);
 
 }  // namespace peargrade::sources
--- a/src/sources/load.cpp
+++ b/src/sources/load.cpp
@@ -10,16 +10,17 @@
 namespace peargrade::sources {
 
 const Module& load() {
-  char path[PATH_MAX];
-  const ssize_t size = readlink("/proc/self/exe", path, sizeof path);
-  const std::string program(path, size > 0 ? static_cast<std::size_t>(size) : 0);
-  const std::string file = program.substr(0, program.rfind('/') + 1) + kFile;
-  void* handle = dlopen(file.c_str(), RTLD_NOW | RTLD_LOCAL);
-  if (handle == nullptr) throw std::runtime_error(std::string("cannot load what sources need: ") + dlerror());
-  const auto entry = reinterpret_cast<const Module* (*)()>(dlsym(handle, kEntry));
+  char executablePath[PATH_MAX];
+  const ssize_t pathLength = readlink("/proc/self/exe", executablePath, sizeof executablePath);
+  const std::string program(executablePath, pathLength > 0 ? static_cast<std::size_t>(pathLength) : 0);
+  const std::string modulePath = program.substr(0, program.rfind('/') + 1) + kModuleFileName;
+  void* handle = dlopen(modulePath.c_str(), RTLD_NOW | RTLD_LOCAL);
+  if (handle == nullptr)
+    throw std::runtime_error(std::string("cannot load the sources module: ") + dlerror());
+  const auto entry = reinterpret_cast<const Module* (*)()>(dlsym(handle, kModuleEntryPoint));
   const Module* module = entry == nullptr ? nullptr : entry();
   if (module == nullptr || std::string(module->build) != kBuild)
-    throw std::runtime_error(file + " belongs to another build of this program");
+    throw std::runtime_error(modulePath + ": the sources module is not from the same build as this program");
   return *module;
 }
 
--- a/src/sources/module.cpp
+++ b/src/sources/module.cpp
@@ -1,4 +1,4 @@
-// The entry of the module that is loaded where an operator's file names sources.
+// Entry point of the sources module, see sources/source_registry.h.
 #include <random>
 
 #include "sources/build.h"
@@ -9,9 +9,10 @@
 namespace peargrade::sources {
 namespace {
 
-std::unique_ptr<SourceRegistry> open(const Dependencies& around) {
+std::unique_ptr<SourceRegistry> open(const Dependencies& dependencies) {
   const auto device = std::make_shared<std::random_device>();
-  return std::make_unique<Sources>(around, [device] { return static_cast<std::uint32_t>((*device)()); });
+  return std::make_unique<Sources>(dependencies,
+                                   [device] { return static_cast<std::uint32_t>((*device)()); });
 }
 
 }  // namespace
--- a/src/sources/source_registry.h
+++ b/src/sources/source_registry.h
@@ -1,5 +1,6 @@
-// The way into the sources of servers beyond discovery. What they need stands in a module of its own that is
-// loaded only where an operator's file asks for it; the program knows this interface alone.
+// Interface between the program and the sources of servers beyond discovery. Their implementation, with the
+// libraries that it needs, is a module that is loaded only if the operator's file configures sources or a
+// command needs it. The program is compiled against this header only.
 #pragma once
 
 #include <event2/event.h>
@@ -17,58 +18,70 @@
 
 namespace peargrade::sources {
 
-// All that a front works with; it outlives the front.
+/// What a SourceRegistry works with. The caller owns all of it and keeps it alive longer than the registry.
 struct Dependencies {
   event_base* base = nullptr;
   const op::Operator* op = nullptr;
   const discovery::Names* names = nullptr;
-  const EndpointListUpdate* known = nullptr;  // of the configuration, with the endpoints of its entries
-  const std::vector<std::string>* knownEndpoints = nullptr;
-  dispatch::Dispatcher* exchange = nullptr;
+  /// The cached list of servers in the configuration. The membership starts with it.
+  const EndpointListUpdate* cachedList = nullptr;
+  /// The addresses of the entries of `cachedList`, by the same index.
+  const std::vector<std::string>* cachedAddresses = nullptr;
+  dispatch::Dispatcher* dispatcher = nullptr;
   log::Log* log = nullptr;
-  std::function<Micros()> clock;  // Unix time that never jumps
+  /// Unix time in microseconds, without jumps.
+  std::function<Micros()> clock;
 };
 
-// The sources while the program serves; it posts the list to the exchange.
+/// The sources of a running supervisor. Posts the merged list of servers to the dispatcher.
 class SourceRegistry {
  public:
   virtual ~SourceRegistry() = default;
-  // What discovery tells, in place of the exchange.
-  virtual void roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) = 0;
-  // SIGHUP: what the operator's file names is read anew (zone files, keys).
+  /// Receives a list from discovery, which is merged here instead of being posted to the dispatcher directly.
+  /// `endpoints` has the addresses of the entries of `update`, by the same index.
+  virtual void roster(const EndpointListUpdate& update, const std::vector<std::string>& endpoints) = 0;
+  /// Rereads the files that the operator's file names (zone files, keys). Called on SIGHUP.
   virtual void reload() = 0;
-  // A line in the log for each server: which source says what, which rule decided, until when.
+  /// Logs one line for each server: the entry of every source, the deciding rule and how long it applies.
   virtual void explain() = 0;
 };
 
 using zone_server::ZoneCommand;
-// One command line of `peargrade srv lookup`. Times in microseconds.
+
+/// The arguments of `peargrade srv lookup`.
 struct LookupCommand {
   std::string name;
+  /// Addresses of the name servers.
   std::vector<std::string> servers;
   bool json = false;
-  Micros within = 6000000;
+  /// Limit of the lookup, in microseconds.
+  Micros timeout = 6000000;
 };
-// One command line of `peargrade sources explain`. Times in microseconds.
+
+/// The arguments of `peargrade sources explain`.
 struct ExplainCommand {
-  std::string discovery;  // address; "": the roster is left out
+  /// Address of discovery; if empty, the roster is not read.
+  std::string discovery;
   bool json = false;
-  Micros within = 10000000;
+  /// How long to wait for all sources, in microseconds.
+  Micros timeout = 10000000;
 };
 
-// What the module exports under kEntry. Both are built from one tree; `build` tells them apart if they are
-// not.
+/// The functions that the module exports under kModuleEntryPoint.
 struct Module {
+  /// Identifies the build of the module. Program and module share C++ types, so their builds must be the
+  /// same.
   const char* build;
   std::unique_ptr<SourceRegistry> (*open)(const Dependencies&);
   int (*lookup)(const LookupCommand&, log::Log&);
   int (*explain)(const ExplainCommand&, const op::Operator&, const discovery::Names&, log::Log&);
   int (*zone)(const ZoneCommand&, log::Log&);
 };
-inline constexpr char kEntry[] = "peargrade_sources_module";
-inline constexpr char kFile[] = "peargrade_sources.so";
+inline constexpr char kModuleEntryPoint[] = "peargrade_sources_module";
+inline constexpr char kModuleFileName[] = "peargrade_sources.so";
 
-// Loads the module from the folder that the program lies in. Throws std::runtime_error with the reason.
+/// Loads the module from the directory of the program's executable. Throws std::runtime_error if it cannot be
+/// loaded or is from another build.
 const Module& load();
 
 }  // namespace peargrade::sources
--- a/src/sources/sources.cpp
+++ b/src/sources/sources.cpp
@@ -5,13 +5,16 @@
 namespace peargrade::sources {
 namespace {
 
-constexpr std::size_t kLinesMost = 20;  // in the log for one news; the rest is counted
-constexpr Micros kConfirmParts = 3;     // a second answer is asked for after this part of the time for it
+// Decisions of one reconciliation that are logged one by one; the rest is only counted.
+constexpr std::size_t kMaxDecisionLines = 20;
+// While the membership awaits a confirming answer, lookups are at most this fraction of the confirmation
+// timeout apart (1/3).
+constexpr Micros kConfirmationLookupDivisor = 3;
 
-const char* wordOf(EndpointState state) {
+const char* stateName(EndpointState state) {
   return state == EndpointState::Ready ? "ready" : state == EndpointState::Draining ? "draining" : "gone";
 }
-const char* wordOf(dns::Service::Kind kind) {
+const char* kindName(dns::Service::Kind kind) {
   return kind == dns::Service::Kind::Complete  ? "complete"
          : kind == dns::Service::Kind::Partial ? "partial"
                                                : "failed";
@@ -19,163 +22,173 @@
 
 }  // namespace
 
-std::vector<bool> authorityOf(const op::Operator& op) {
+std::vector<bool> zoneAuthority(const op::Operator& op) {
   std::vector<bool> authority(op.srv.size(), false);
   for (const op::Zone& zone : op.zones) authority.push_back(zone.authority);
   return authority;
 }
 
-std::vector<membership::RosterEntry> withEndpoints(const EndpointListUpdate& news,
+std::vector<membership::RosterEntry> rosterEntries(const EndpointListUpdate& update,
                                                    const std::vector<std::string>& endpoints) {
   std::vector<membership::RosterEntry> entries;
-  entries.reserve(news.endpoints.size());
-  for (std::size_t k = 0; k < news.endpoints.size(); ++k)
-    entries.push_back({news.endpoints[k], k < endpoints.size() ? endpoints[k] : ""});
+  entries.reserve(update.endpoints.size());
+  for (std::size_t k = 0; k < update.endpoints.size(); ++k)
+    entries.push_back({update.endpoints[k], k < endpoints.size() ? endpoints[k] : ""});
   return entries;
 }
 
-Sources::Watch::Watch(Sources& owner, std::size_t number, const op::Srv& srv)
-    : number(number),
-      srv(srv),
-      places(srv.places, *owner.around_.names),
-      schedule(owner.around_.op->dns),
-      again(owner.around_.base, [this, &owner] { owner.look(*this); }) {}
+Sources::WatchedService::WatchedService(Sources& owner, std::size_t sourceIndex, const op::Srv& settings)
+    : sourceIndex(sourceIndex),
+      settings(settings),
+      localities(settings.places, *owner.dependencies_.names),
+      schedule(owner.dependencies_.op->dns),
+      lookupTimer(owner.dependencies_.base, [this, &owner] { owner.startLookup(*this); }) {}
 
-Sources::Sources(const Dependencies& around, dns::Resolver::Random random)
-    : around_(around),
+Sources::Sources(const Dependencies& dependencies, dns::Resolver::Random random)
+    : dependencies_(dependencies),
       random_(std::move(random)),
-      resolver_(around.base, around.op->dns, around.clock, random_, *around.log),
-      membership_(around.op->merge, authorityOf(*around.op), around.op->roster,
-                  withEndpoints(*around.known, *around.knownEndpoints), around.clock()),
-      turn_(around.base, [this] { settle(); }) {
-  std::size_t number = 0;
-  for (const op::Srv& srv : around_.op->srv) {
-    watches_.emplace_back(*this, number++, srv);
-    watches_.back().again.schedule(0);
+      resolver_(dependencies.base, dependencies.op->dns, dependencies.clock, random_, *dependencies.log),
+      membership_(dependencies.op->merge, zoneAuthority(*dependencies.op), dependencies.op->roster,
+                  rosterEntries(*dependencies.cachedList, *dependencies.cachedAddresses),
+                  dependencies.clock()),
+      reconcileTimer_(dependencies.base, [this] { reconcile(); }) {
+  std::size_t sourceIndex = 0;
+  for (const op::Srv& srv : dependencies_.op->srv) {
+    services_.emplace_back(*this, sourceIndex++, srv);
+    services_.back().lookupTimer.schedule(0);
     labels_.push_back("srv " + srv.label);
   }
-  if (!around_.op->zones.empty()) worker_ = std::make_unique<zone_server::Worker>(around_.base);
-  const zone_server::Context zoneContext{around_.base, around_.names, around_.log, around_.clock,
-                                         around_.op->merge.firstResponseIsWarm};
-  for (const op::Zone& zone : around_.op->zones) {
-    zones_.emplace_back(zoneContext, zone, number++, *worker_,
-                        [this](const membership::Observation& o) { observe(o); });
+  if (!dependencies_.op->zones.empty()) worker_ = std::make_unique<zone_server::Worker>(dependencies_.base);
+  const zone_server::Context zoneContext{dependencies_.base, dependencies_.names, dependencies_.log,
+                                         dependencies_.clock, dependencies_.op->merge.firstResponseIsWarm};
+  for (const op::Zone& zone : dependencies_.op->zones) {
+    zones_.emplace_back(zoneContext, zone, sourceIndex++, *worker_,
+                        [this](const membership::Observation& observation) { observe(observation); });
     labels_.push_back("zone " + zone.label);
   }
-  if (!around_.op->roster) {
-    // Nobody else answers the module's wish for the list.
-    around_.exchange->onEndpointListRequest([this](dispatch::Dispatcher::EndpointListRequest call) {
-      if (call == dispatch::Dispatcher::EndpointListRequest::Unwatch) return;
-      membership_.requestFullList();
-      settleSoon();
-    });
+  if (!dependencies_.op->roster) {
+    // Without discovery, requests of the decision engine for the list are answered here.
+    dependencies_.dispatcher->onEndpointListRequest(
+        [this](dispatch::Dispatcher::EndpointListRequest request) {
+          if (request == dispatch::Dispatcher::EndpointListRequest::Unwatch) return;
+          membership_.requestFullList();
+          scheduleReconcile();
+        });
   }
-  settleSoon();
+  scheduleReconcile();
 }
 
 Sources::~Sources() {
-  worker_.reset();  // its thread ends before what its jobs speak of
-  if (!around_.op->roster) around_.exchange->onEndpointListRequest(nullptr);
+  worker_.reset();  // joins its thread before the objects that its jobs refer to are destroyed
+  if (!dependencies_.op->roster) dependencies_.dispatcher->onEndpointListRequest(nullptr);
 }
 
-void Sources::observe(const membership::Observation& o) {
-  membership_.applyRecords(o, around_.clock());
-  if (!around_.op->roster && !known_) {
-    known_ = true;
-    around_.exchange->endpointListKnown();
+void Sources::observe(const membership::Observation& observation) {
+  membership_.applyRecords(observation, dependencies_.clock());
+  if (!dependencies_.op->roster && !listAnnounced_) {
+    listAnnounced_ = true;
+    dependencies_.dispatcher->endpointListKnown();
   }
-  settle();
+  reconcile();
 }
 
 void Sources::reload() {
   for (zone_server::ZoneSource& zone : zones_) zone.reload();
 }
 
-bool Sources::askedAll() const {
-  const bool zones =
+bool Sources::allSourcesQueried() const {
+  const bool zonesReady =
       std::all_of(zones_.begin(), zones_.end(), [](const zone_server::ZoneSource& z) { return z.ready(); });
-  if (!zones) return false;
-  return std::all_of(watches_.begin(), watches_.end(), [](const Watch& w) { return w.asked; });
+  if (!zonesReady) return false;
+  return std::all_of(services_.begin(), services_.end(), [](const WatchedService& w) { return w.queried; });
 }
 
-void Sources::look(Watch& watch) {
+void Sources::startLookup(WatchedService& watched) {
   resolver_.lookup(
-      watch.srv.name, [this, &watch](const dns::Service& service) { took(watch, service); },
+      watched.settings.name,
+      [this, &watched](const dns::Service& service) { handleLookupResult(watched, service); },
       membership_.awaitsConfirmation());
 }
 
-void Sources::took(Watch& watch, const dns::Service& service) {
-  const Micros now = around_.clock();
-  std::size_t misplaced = 0;
+void Sources::handleLookupResult(WatchedService& watched, const dns::Service& service) {
+  const Micros now = dependencies_.clock();
+  std::size_t unmappedAddresses = 0;
   if (service.kind != dns::Service::Kind::Failed)
-    membership_.applyRecords(observed(service, watch.number, watch.places, misplaced), now);
-  if (service.kind != watch.said || !watch.asked) {
-    log::Line line = around_.log->line(
+    membership_.applyRecords(
+        toObservation(service, watched.sourceIndex, watched.localities, unmappedAddresses), now);
+  if (service.kind != watched.lastKind || !watched.queried) {
+    log::Line line = dependencies_.log->line(
         service.kind == dns::Service::Kind::Complete ? log::Level::Info : log::Level::Warn, "sources");
-    line << "srv " << watch.srv.label << ": " << wordOf(service.kind)
+    line << "srv " << watched.settings.label << ": " << kindName(service.kind)
          << " code=" << dns::nameOf(service.verdict) << ", " << service.targets.size() << " targets";
   }
-  if (misplaced > 0 && misplaced != watch.misplaced)
-    around_.log->warn("sources") << "srv " << watch.srv.label << ": " << misplaced
-                                 << " addresses left out code=no-place";
-  watch.said = service.kind;
-  watch.misplaced = misplaced;
-  watch.asked = true;
-  if (service.kind == dns::Service::Kind::Complete && !around_.op->roster && !known_) {
-    known_ = true;
-    around_.exchange->endpointListKnown();
+  if (unmappedAddresses > 0 && unmappedAddresses != watched.unmappedAddresses)
+    dependencies_.log->warn("sources") << "srv " << watched.settings.label << ": " << unmappedAddresses
+                                       << " addresses left out code=no-place";
+  watched.lastKind = service.kind;
+  watched.unmappedAddresses = unmappedAddresses;
+  watched.queried = true;
+  if (service.kind == dns::Service::Kind::Complete && !dependencies_.op->roster && !listAnnounced_) {
+    listAnnounced_ = true;
+    dependencies_.dispatcher->endpointListKnown();
   }
-  settle();
-  const double chance = static_cast<double>(random_()) / 4294967296.0;
-  const Micros soonest =
-      membership_.awaitsConfirmation() ? around_.op->merge.confirmationTimeout / kConfirmParts : 0;
-  watch.again.schedule(watch.schedule.after(service, now, chance, soonest));
+  reconcile();
+  const double jitter = static_cast<double>(random_()) / 4294967296.0;
+  const Micros latestWait = membership_.awaitsConfirmation()
+                                ? dependencies_.op->merge.confirmationTimeout / kConfirmationLookupDivisor
+                                : 0;
+  watched.lookupTimer.schedule(watched.schedule.after(service, now, jitter, latestWait));
 }
 
-void Sources::roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) {
-  membership_.applyRoster(news.kind, withEndpoints(news, endpoints), around_.clock());
-  settle();
+void Sources::roster(const EndpointListUpdate& update, const std::vector<std::string>& endpoints) {
+  membership_.applyRoster(update.kind, rosterEntries(update, endpoints), dependencies_.clock());
+  reconcile();
 }
 
-void Sources::settle() {
-  const Micros now = around_.clock();
-  // Told when it begins and at each doubling.
-  if (membership_.rejectedServers() > 2 * overfull_) {
-    overfull_ = membership_.rejectedServers();
-    around_.log->warn("sources") << overfull_ << " servers left out code=overfull, "
-                                 << around_.op->merge.serversMax << " are held";
+void Sources::reconcile() {
+  const Micros now = dependencies_.clock();
+  // Logged when servers are first rejected, and again each time their count has more than doubled.
+  if (membership_.rejectedServers() > 2 * loggedRejectedServers_) {
+    loggedRejectedServers_ = membership_.rejectedServers();
+    dependencies_.log->warn("sources") << loggedRejectedServers_ << " servers left out code=overfull, limit "
+                                       << dependencies_.op->merge.serversMax;
   }
-  if (auto news = membership_.reconcile(now)) {
-    std::size_t lines = 0;
-    for (const membership::Decision& d : news->decisions) {
-      if (++lines > kLinesMost) continue;
-      around_.log->info("sources") << d.server << " " << wordOf(d.state)
-                                   << " code=" << membership::codeOf(d.rule);
+  if (auto update = membership_.reconcile(now)) {
+    std::size_t lineCount = 0;
+    for (const membership::Decision& decision : update->decisions) {
+      if (++lineCount > kMaxDecisionLines) continue;
+      dependencies_.log->info("sources") << decision.server << " " << stateName(decision.state)
+                                         << " code=" << membership::codeOf(decision.rule);
     }
-    if (lines > kLinesMost) around_.log->info("sources") << "and " << lines - kLinesMost << " more servers";
-    around_.exchange->post(std::move(news->list));
+    if (lineCount > kMaxDecisionLines)
+      dependencies_.log->info("sources")
+          << lineCount - kMaxDecisionLines << " more servers changed, not logged one by one";
+    dependencies_.dispatcher->post(std::move(update->list));
   }
   if (const auto due = membership_.nextReconcile())
-    turn_.schedule(*due - now);
+    reconcileTimer_.schedule(*due - now);
   else
-    turn_.cancel();
+    reconcileTimer_.cancel();
 }
 
 void Sources::explain() {
-  const Micros now = around_.clock();
-  for (const auto& e : membership_.explain(now)) {
-    log::Line line = around_.log->info("sources");
-    line << e.server << (e.listed ? " is " : " is not listed, ") << (e.listed ? wordOf(e.state) : "")
-         << " code=" << membership::codeOf(e.rule);
-    if (e.until > now) line << " for " << (e.until - now) / 1000 << " ms";
-    line << "; roster: " << (e.roster.empty() ? "nothing" : e.roster);
-    for (std::size_t k = 0; k < e.records.size(); ++k) line << "; " << labels_[k] << ": " << e.records[k];
+  const Micros now = dependencies_.clock();
+  for (const auto& explanation : membership_.explain(now)) {
+    log::Line line = dependencies_.log->info("sources");
+    line << explanation.server << (explanation.listed ? " is " : " is not listed, ")
+         << (explanation.listed ? stateName(explanation.state) : "")
+         << " code=" << membership::codeOf(explanation.rule);
+    if (explanation.until > now) line << " for " << (explanation.until - now) / 1000 << " ms";
+    line << "; roster: " << (explanation.roster.empty() ? "nothing" : explanation.roster);
+    for (std::size_t k = 0; k < explanation.records.size(); ++k)
+      line << "; " << labels_[k] << ": " << explanation.records[k];
   }
-  const auto& c = resolver_.counts();
-  around_.log->info("sources") << membership_.listedCount() << " listed, " << membership_.readyCount()
-                               << " ready; " << c.asked << " questions asked, " << c.answered << " answered, "
-                               << c.failed << " failed, " << c.stale << " served stale, " << c.tcp
-                               << " over TCP, " << c.strangers << " strangers ignored";
+  const auto& counts = resolver_.counts();
+  dependencies_.log->info("sources") << membership_.listedCount() << " listed, " << membership_.readyCount()
+                                     << " ready; " << counts.asked << " questions asked, " << counts.answered
+                                     << " answered, " << counts.failed << " failed, " << counts.stale
+                                     << " served stale, " << counts.tcp << " over TCP, " << counts.strangers
+                                     << " unexpected replies ignored";
 }
 
 }  // namespace peargrade::sources
--- a/src/sources/sources.h
+++ b/src/sources/sources.h
@@ -1,6 +1,6 @@
-// The sources of servers round the membership: looks services up in time, takes what discovery tells, and
-// posts the one list to the exchange. It decides nothing: when to ask is src/dns/lookup_schedule.h, who is
-// listed is src/membership.
+// Runs the sources of servers: looks SRV services up on schedule, keeps the zones, receives the lists of
+// discovery, and posts the merged list to the dispatcher. The policies are elsewhere:
+// src/dns/lookup_schedule.h decides when to look up, src/membership decides which servers are listed.
 #pragma once
 
 #include <list>
@@ -10,22 +10,22 @@
 #include "membership/membership.h"
 #include "net/net.h"
 #include "sources/source_registry.h"
-#include "sources/view.h"
+#include "sources/srv_observation.h"
 #include "zone_server/zone_source.h"
 
 namespace peargrade::sources {
 
-// The entries with the endpoint that stands at the same place; "" where there is none.
-std::vector<membership::RosterEntry> withEndpoints(const EndpointListUpdate& news,
+/// Pairs each server of `update` with the address at the same index of `endpoints`; with "" if there is none.
+std::vector<membership::RosterEntry> rosterEntries(const EndpointListUpdate& update,
                                                    const std::vector<std::string>& endpoints);
 
-// All sources of one supervisor and the membership that they lead to.
+/// All sources of one supervisor and the membership that results from them.
 class Sources : public SourceRegistry {
  public:
-  Sources(const Dependencies& around, dns::Resolver::Random random);
+  Sources(const Dependencies& dependencies, dns::Resolver::Random random);
   ~Sources() override;
 
-  void roster(const EndpointListUpdate& news, const std::vector<std::string>& endpoints) override;
+  void roster(const EndpointListUpdate& update, const std::vector<std::string>& endpoints) override;
   void explain() override;
   void reload() override;
 
@@ -33,38 +33,40 @@
   const membership::Membership& membership() const { return membership_; }
   const dns::Resolver& resolver() const { return resolver_; }
   dns::Resolver& resolver() { return resolver_; }
-  // Every service was looked up once at least, with an answer or without.
-  bool askedAll() const;
+  /// Whether every zone is ready and every service has been looked up at least once, successfully or not.
+  bool allSourcesQueried() const;
 
  private:
-  struct Watch {
-    Watch(Sources& owner, std::size_t number, const op::Srv& srv);
-    const std::size_t number;
-    const op::Srv& srv;
-    const locality::LocalityMap places;
+  /// An SRV service that is looked up repeatedly, with the result of its last lookup.
+  struct WatchedService {
+    WatchedService(Sources& owner, std::size_t sourceIndex, const op::Srv& settings);
+    const std::size_t sourceIndex;
+    const op::Srv& settings;
+    const locality::LocalityMap localities;
     dns::LookupSchedule schedule;
-    net::Timer again;
-    bool asked = false;
-    dns::Service::Kind said = dns::Service::Kind::Complete;
-    std::size_t misplaced = 0;
+    net::Timer lookupTimer;
+    bool queried = false;
+    dns::Service::Kind lastKind = dns::Service::Kind::Complete;
+    std::size_t unmappedAddresses = 0;
   };
-  void look(Watch& watch);
-  void took(Watch& watch, const dns::Service& service);
-  void observe(const membership::Observation& o);
-  void settleSoon() { turn_.schedule(0); }
-  void settle();
+  void startLookup(WatchedService& watched);
+  void handleLookupResult(WatchedService& watched, const dns::Service& service);
+  void observe(const membership::Observation& observation);
+  void scheduleReconcile() { reconcileTimer_.schedule(0); }
+  /// Posts the list if it has changed, and schedules the next reconciliation.
+  void reconcile();
 
-  const Dependencies around_;
+  const Dependencies dependencies_;
   dns::Resolver::Random random_;
   dns::Resolver resolver_;
   membership::Membership membership_;
-  std::list<Watch> watches_;
-  std::vector<std::string> labels_;              // of the sources of records, in their order
-  std::unique_ptr<zone_server::Worker> worker_;  // before zones_, whose jobs it runs
+  std::list<WatchedService> services_;
+  std::vector<std::string> labels_;              // of the SRV and zone sources, by source index
+  std::unique_ptr<zone_server::Worker> worker_;  // declared before zones_, whose jobs it runs
   std::list<zone_server::ZoneSource> zones_;
-  net::Timer turn_;
-  std::uint64_t overfull_ = 0;  // as told
-  bool known_ = false;          // the exchange was told that the list is known
+  net::Timer reconcileTimer_;
+  std::uint64_t loggedRejectedServers_ = 0;  // count of rejected servers in the last warning
+  bool listAnnounced_ = false;               // the dispatcher was notified that the list is known
 };
 
 }  // namespace peargrade::sources
--- a/tests/sources/whole_test.cpp
+++ b/tests/sources/sources_process_test.cpp
@@ -1,6 +1,6 @@
-// The whole supervisor as a process with SRV as a source, against fakes: no slice is bare for longer than
-// the settings allow, and nothing is sent to a server that drains. Size: 8 slices, 6 servers, lifetimes of 1
-// s.
+// Tests of a supervisor process with an SRV service as a source, against fakes of its peers: no slice is
+// without a usable route for longer than the settings allow, and no route leads to a draining server after
+// its grace period. Size: 8 slices, 6 servers, TTLs of 1 s.
 #include <gtest/gtest.h>
 
 #include "fakes/collector.h"
@@ -16,44 +16,46 @@
 using Fault = fakes::NameServer::Fault;
 using Over = fakes::NameServer::Over;
 constexpr Micros kSecond = 1000000;
-constexpr Micros kBareMax = 5 * kSecond;     // blackholeUs of the example
-constexpr Micros kDrainGrace = 2 * kSecond;  // drainGraceUs of the example
-constexpr Micros kSocketRoom = 300000;       // that the rules on sockets add
+constexpr Micros kMaxUnroutedTime = 5 * kSecond;    // blackholeUs of the example
+constexpr Micros kDrainGrace = 2 * kSecond;         // drainGraceUs of the example
+constexpr Micros kSocketLatencyAllowance = 300000;  // latency added by the sockets
 constexpr char kName[] = "_o._tcp.example.org";
 
-struct Whole : testing::Test {
+struct SourcesProcess : testing::Test {
   Loop loop;
   fakes::Relay relay{loop.base.get()};
   fakes::Discovery discovery{loop.base.get()};
   fakes::NameServer names{loop.base.get()};
   fakes::SliceCoverage coverage{relay, net::steadyNow};
   net::Address listen{ownHost(), 3000};
-  std::unique_ptr<Written> config, operatorFile;
+  std::unique_ptr<Written> config;
+  std::unique_ptr<Written> operatorFile;
   std::unique_ptr<Program> program;
   std::unique_ptr<fakes::Collector> collector;
 
-  static std::string host(int k) { return "bello-" + std::to_string(k) + ".example.org"; }
-  static std::string at(int k) { return "10.1.0." + std::to_string(k) + ":3000"; }
+  static std::string hostName(int k) { return "bello-" + std::to_string(k) + ".example.org"; }
+  static std::string addressOf(int k) { return "10.1.0." + std::to_string(k) + ":3000"; }
 
-  void record(int k, std::uint32_t ttl = 1) {
-    names.srv(kName, host(k), 3000, 0, 10, ttl);
-    names.a(host(k), "10.1.0." + std::to_string(k), ttl);
+  void addRecord(int k, std::uint32_t ttl = 1) {
+    names.srv(kName, hostName(k), 3000, 0, 10, ttl);
+    names.a(hostName(k), "10.1.0." + std::to_string(k), ttl);
   }
-  void unrecord(int k) {
+  void removeRecord(int k) {
     auto& all = names.names[kName];
-    all.erase(std::remove_if(all.begin(), all.end(), [&](const auto& d) { return d.value == host(k); }),
+    all.erase(std::remove_if(all.begin(), all.end(), [&](const auto& d) { return d.value == hostName(k); }),
               all.end());
   }
-  // Slices stand at the servers as they will be told.
-  void start(bool roster, const std::string& merge = "",
-             const std::string& waitFor = "srv orders: complete") {
+  // Starts the supervisor and waits for the log text `waitFor`. The relay initially assigns the slices to the
+  // six servers in turn, under the names by which the supervisor will list them.
+  void startSupervisor(bool roster, const std::string& merge = "",
+                       const std::string& waitFor = "srv orders: complete") {
     relay.proxies[0] = {"east", 5, true};
     for (int slice = 0; slice < 8; ++slice)
-      relay.slices[slice] = {{roster ? "s" + std::to_string(slice % 6) : at(slice % 6), "1"}};
+      relay.slices[slice] = {{roster ? "s" + std::to_string(slice % 6) : addressOf(slice % 6), "1"}};
     for (int k = 0; k < 6; ++k) {
-      record(k);
-      coverage.runs(roster ? "s" + std::to_string(k) : at(k));
-      if (roster) discovery.set("s" + std::to_string(k), "east", "SERVING", 0, at(k));
+      addRecord(k);
+      coverage.runs(roster ? "s" + std::to_string(k) : addressOf(k));
+      if (roster) discovery.set("s" + std::to_string(k), "east", "SERVING", 0, addressOf(k));
     }
     std::ifstream in(PEARGRADE_EXAMPLE_CONFIG);
     std::string text{std::istreambuf_iterator<char>(in), {}};
@@ -70,119 +72,124 @@
                           kName + "\"\n place zone=\"east\"\n }\n merge {\n" + merge + "\n }\n}\n");
     program = std::make_unique<Program>(std::vector<std::string>{
         PEARGRADE_PROGRAM, "serve", "-c", config->path, "--operator", operatorFile->path});
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(sampleUntil([&] {
       if (!collector || collector->ended()) {
         collector = std::make_unique<fakes::Collector>(loop.base.get(), listen);
         collector->send(R"({"type":"hb"})");
       }
-      return !collector->received.empty() && said(waitFor);
+      return !collector->received.empty() && hasLogged(waitFor);
     })) << program->output();
   }
-  bool until(const std::function<bool()>& holds) {
+  // Runs the loop until `holds`, sampling the slice coverage at each turn.
+  bool sampleUntil(const std::function<bool()>& holds) {
     return loop.until([&] {
       coverage.sample();
       return holds();
     });
   }
-  void pass(Micros span) {
+  void runFor(Micros span) {
     const Micros end = net::steadyNow() + span;
-    until([&] { return net::steadyNow() >= end; });
+    sampleUntil([&] { return net::steadyNow() >= end; });
   }
-  bool said(const std::string& part) const { return program->output().find(part) != std::string::npos; }
-  bool used(const std::string& server) const {
+  bool hasLogged(const std::string& part) const { return program->output().find(part) != std::string::npos; }
+  bool hasRoute(const std::string& server) const {
     for (const auto& [slice, lines] : relay.slices) {
       if (lines.count(server) != 0) return true;
     }
     return false;
   }
   void expectRulesKept() {
-    EXPECT_LE(coverage.worst(), kBareMax + kSocketRoom) << coverage.where() << "\n" << program->output();
-    for (const std::string& wrong : coverage.wrongs()) ADD_FAILURE() << wrong;
+    EXPECT_LE(coverage.worst(), kMaxUnroutedTime + kSocketLatencyAllowance) << coverage.where() << "\n"
+                                                                            << program->output();
+    for (const std::string& violation : coverage.wrongs()) ADD_FAILURE() << violation;
     EXPECT_FALSE(program->ended()) << program->output();
     program->signal(SIGTERM);
     EXPECT_EQ(program->wait(), 0) << program->output();
-    std::cout << "worst bare " << coverage.worst() / 1000 << " ms\n";
+    std::cout << "longest time without a usable route " << coverage.worst() / 1000 << " ms\n";
   }
 };
 
-// The hard case: half the pool in a truncated answer, the rest out of reach.
-TEST_F(Whole, ATruncatedAnswerThatListsHalfThePoolMovesNothing) {
-  start(false);
+// The UDP answer is truncated and lists half of the servers; the full answer over TCP cannot be fetched.
+TEST_F(SourcesProcess, TruncatedAnswerWithHalfOfTheServersMovesNoSlices) {
+  startSupervisor(false);
   names.fail(Fault::Truncated, Over::Udp);
   names.fail(Fault::Reset, Over::Tcp);
-  ASSERT_TRUE(until([&] { return said("srv orders: partial code=truncated"); })) << program->output();
-  pass(3 * kSecond);
-  for (int k = 0; k < 6; ++k) EXPECT_TRUE(used(at(k))) << at(k);
+  ASSERT_TRUE(sampleUntil([&] { return hasLogged("srv orders: partial code=truncated"); }))
+      << program->output();
+  runFor(3 * kSecond);
+  for (int k = 0; k < 6; ++k) EXPECT_TRUE(hasRoute(addressOf(k))) << addressOf(k);
   EXPECT_EQ(coverage.worst(), 0);
   expectRulesKept();
 }
 
-// The hard case: records end, the roster goes on reporting the servers as running.
-TEST_F(Whole, ExpiredRecordsOfServersThatTheRosterRunsMoveNothing) {
-  start(true, "stale \"0s\"\nstep-every \"100ms\"");
+// The records expire while the roster still reports the servers as running.
+TEST_F(SourcesProcess, ExpiredRecordsOfServersInTheRosterMoveNoSlices) {
+  startSupervisor(true, "stale \"0s\"\nstep-every \"100ms\"");
   names.fail(Fault::Silent);
-  ASSERT_TRUE(until([&] { return said("srv orders: failed"); })) << program->output();
-  pass(3 * kSecond);
-  for (int k = 0; k < 6; ++k) EXPECT_TRUE(used("s" + std::to_string(k)));
+  ASSERT_TRUE(sampleUntil([&] { return hasLogged("srv orders: failed"); })) << program->output();
+  runFor(3 * kSecond);
+  for (int k = 0; k < 6; ++k) EXPECT_TRUE(hasRoute("s" + std::to_string(k)));
   EXPECT_EQ(coverage.worst(), 0);
   expectRulesKept();
 }
 
-TEST_F(Whole, ADrainOfTheRosterIsKeptThoughRecordsGoOnListing) {
-  start(true);
-  discovery.set("s0", "east", "DRAINING", 0, at(0));
-  coverage.leaves("s0", kDrainGrace + kSocketRoom);
-  ASSERT_TRUE(until([&] { return !used("s0"); })) << program->output();
-  pass(3 * kSecond);
-  EXPECT_FALSE(used("s0"));
-  EXPECT_FALSE(used(at(0)));
+TEST_F(SourcesProcess, DrainInTheRosterHoldsWhileRecordsStillListTheServer) {
+  startSupervisor(true);
+  discovery.set("s0", "east", "DRAINING", 0, addressOf(0));
+  coverage.leaves("s0", kDrainGrace + kSocketLatencyAllowance);
+  ASSERT_TRUE(sampleUntil([&] { return !hasRoute("s0"); })) << program->output();
+  runFor(3 * kSecond);
+  EXPECT_FALSE(hasRoute("s0"));
+  EXPECT_FALSE(hasRoute(addressOf(0)));
   expectRulesKept();
 }
 
-TEST_F(Whole, AServerTakenOutOfTheRecordsIsLeftWithinItsLifetime) {
-  start(false);
-  unrecord(1);
-  coverage.leaves(at(1), kDrainGrace + kSocketRoom + kSecond);
-  ASSERT_TRUE(until([&] { return !used(at(1)); })) << program->output();
+TEST_F(SourcesProcess, ServerRemovedFromTheRecordsLosesItsRoutesWithinTheTtl) {
+  startSupervisor(false);
+  removeRecord(1);
+  coverage.leaves(addressOf(1), kDrainGrace + kSocketLatencyAllowance + kSecond);
+  ASSERT_TRUE(sampleUntil([&] { return !hasRoute(addressOf(1)); })) << program->output();
   expectRulesKept();
 }
 
-// Most of the zone is lost at the name server: nothing moves before a second answer, and then nothing is
-// bare.
-TEST_F(Whole, AZoneThatLosesMostServersIsAskedTwiceAndNeverLeavesASliceBare) {
-  start(false, "confirm-within \"3s\"");
-  for (int k = 2; k < 6; ++k) unrecord(k);
-  for (int k = 2; k < 6; ++k) coverage.leaves(at(k), 2 * kBareMax);
-  ASSERT_TRUE(until([&] { return !used(at(2)) && !used(at(3)) && !used(at(4)) && !used(at(5)); }))
-      << program->output();
-  EXPECT_TRUE(said("code=removed"));
+// The name server loses most of its zone: no server is removed before a second answer confirms the loss, and
+// no slice is without a usable route afterwards.
+TEST_F(SourcesProcess, ZoneThatLosesMostServersIsConfirmedAndEverySliceKeepsARoute) {
+  startSupervisor(false, "confirm-within \"3s\"");
+  for (int k = 2; k < 6; ++k) removeRecord(k);
+  for (int k = 2; k < 6; ++k) coverage.leaves(addressOf(k), 2 * kMaxUnroutedTime);
+  ASSERT_TRUE(sampleUntil([&] {
+    return !hasRoute(addressOf(2)) && !hasRoute(addressOf(3)) && !hasRoute(addressOf(4)) &&
+           !hasRoute(addressOf(5));
+  })) << program->output();
+  EXPECT_TRUE(hasLogged("code=removed"));
   expectRulesKept();
 }
 
-// No name server from the start on: the roster alone serves.
-TEST_F(Whole, WithoutAnyNameServerTheRosterServesAsBefore) {
+// All name servers refuse from the start: the servers come from the roster alone.
+TEST_F(SourcesProcess, RosterIsUsedWhenNoNameServerAnswers) {
   names.refuse(true);
-  start(true, "", "srv orders: failed");
-  pass(kSecond);
-  discovery.set("s2", "east", "DRAINING", 0, at(2));
-  coverage.leaves("s2", kDrainGrace + kSocketRoom);
-  ASSERT_TRUE(until([&] { return !used("s2"); })) << program->output();
+  startSupervisor(true, "", "srv orders: failed");
+  runFor(kSecond);
+  discovery.set("s2", "east", "DRAINING", 0, addressOf(2));
+  coverage.leaves("s2", kDrainGrace + kSocketLatencyAllowance);
+  ASSERT_TRUE(sampleUntil([&] { return !hasRoute("s2"); })) << program->output();
   expectRulesKept();
 }
 
-TEST_F(Whole, TheSignalForExplanationsWritesThemToTheLog) {
-  start(true);
+TEST_F(SourcesProcess, Sigusr1LogsTheExplanationOfEachServer) {
+  startSupervisor(true);
   program->signal(SIGUSR1);
-  ASSERT_TRUE(until([&] {
-    return said("s3 is ready code=roster; roster: ready; srv orders: listed as bello-3");
+  ASSERT_TRUE(sampleUntil([&] {
+    return hasLogged("s3 is ready code=roster; roster: ready; srv orders: listed as bello-3");
   })) << program->output();
   expectRulesKept();
 }
 
-struct Commands : Whole {};
+struct SourcesCommands : SourcesProcess {};
 
-TEST_F(Commands, LookupShowsAnswersLifetimesAndSteps) {
-  for (int k = 0; k < 3; ++k) record(k, 30);
+TEST_F(SourcesCommands, LookupPrintsAnswersTtlsAndSteps) {
+  for (int k = 0; k < 3; ++k) addRecord(k, 30);
   names.fail(Fault::Truncated, Over::Udp, kName);
   for (const bool json : {false, true}) {
     std::vector<std::string> words{PEARGRADE_PROGRAM,     "srv", "lookup", kName, "--server",
@@ -202,14 +209,14 @@
       {PEARGRADE_PROGRAM, "srv", "lookup", "other.example.org", "--server", names.address().text()});
   ASSERT_TRUE(loop.until([&] { return failed.ended(); }));
   EXPECT_EQ(failed.wait(), 1) << failed.output();
-  Program wrong({PEARGRADE_PROGRAM, "srv", "lookup", "a..b", "--server", names.address().text()});
-  EXPECT_EQ(wrong.wait(), 2) << wrong.output();
+  Program invalid({PEARGRADE_PROGRAM, "srv", "lookup", "a..b", "--server", names.address().text()});
+  EXPECT_EQ(invalid.wait(), 2) << invalid.output();
 }
 
-// Scripts tell by the exit code whether a service is there.
-TEST_F(Commands, LookupThatFindsNothingSaysWhyByItsExitCode) {
+// Scripts use the exit code to find out whether a service exists.
+TEST_F(SourcesCommands, LookupWithoutResultReportsTheReasonInItsExitCode) {
   names.a("address-only.example.org", "10.1.0.9");
-  names.srv("_closed._tcp.example.org", "", 0);  // the root as the target: not offered
+  names.srv("_closed._tcp.example.org", "", 0);  // target ".": the service is not offered
   struct Case {
     const char* name;
     int exitCode;
@@ -230,10 +237,10 @@
   }
 }
 
-TEST_F(Commands, ExplainNamesForEachServerSourceAndRule) {
-  start(true);
-  record(6);
-  discovery.set("s1", "east", "DRAINING", 0, at(1));
+TEST_F(SourcesCommands, ExplainPrintsSourceAndRuleForEachServer) {
+  startSupervisor(true);
+  addRecord(6);
+  discovery.set("s1", "east", "DRAINING", 0, addressOf(1));
   for (const bool json : {false, true}) {
     std::vector<std::string> words{PEARGRADE_PROGRAM, "sources",    "explain",         "-c",
                                    config->path,      "--operator", operatorFile->path};
