--- a/src/sources/sources.cpp
+++ b/src/sources/sources.cpp
@@ -147,7 +147,7 @@
 
 void Sources::reconcile() {
   const Micros now = dependencies_.clock();
-  // Logged when servers are first rejected, and again each time their count has more than doubled.
+  // Logged at the first rejection, and again each time the total of rejections has more than doubled.
   if (membership_.rejectedServers() > 2 * loggedRejectedServers_) {
     loggedRejectedServers_ = membership_.rejectedServers();
     dependencies_.log->warn("sources") << loggedRejectedServers_ << " servers left out code=overfull, limit "
--- a/src/sources/sources.h
+++ b/src/sources/sources.h
@@ -65,7 +65,7 @@
   std::unique_ptr<zone_server::Worker> worker_;  // declared before zones_, whose jobs it runs
   std::list<zone_server::ZoneSource> zones_;
   net::Timer reconcileTimer_;
-  std::uint64_t loggedRejectedServers_ = 0;  // count of rejected servers in the last warning
+  std::uint64_t loggedRejectedServers_ = 0;  // total of rejections at the last warning
   bool listAnnounced_ = false;               // the dispatcher was notified that the list is known
 };
 
