--- a/src/dns/cache.h
+++ b/src/dns/cache.h
@@ -1,4 +1,5 @@
-// What is known of questions, for how long, and when to ask again. Free of I/O and clock.
+// Cache of DNS results: lifetimes, refresh times and failure backoff by question. Performs no I/O and reads
+// no clock.
 #pragma once
 
 #include <list>
@@ -9,44 +10,46 @@
 
 namespace peargrade::dns {
 
-// What the resolver says of a question.
+/// The result of resolving one question.
 struct Result {
   enum class Kind {
     Data,    // records
-    None,    // the name or the type is not there
-    Failed,  // nobody could say
+    None,    // the name has no records of this type, or does not exist
+    Failed,  // no name server gave a usable answer
   } kind = Kind::Failed;
-  bool complete =
-      false;           // nothing is known to be missing; false for a truncated answer whose rest did not come
-  bool stale = false;  // served past its end, since nobody could say (RFC 8767)
+  bool complete = false;  // false for a truncated answer whose remainder could not be fetched over TCP
+  bool stale = false;     // served after its lifetime because no usable answer was received (RFC 8767)
   std::vector<Record> records;
   Verdict verdict = Verdict::ServFail;
-  Micros asOf = 0;   // when it was asked
+  Micros asOf = 0;   // time at which the lookup started
   Micros until = 0;  // end of its lifetime
 };
 
-// Answers by question, bounded in entries and bytes. Times in microseconds of one clock.
+/// Results by question, bounded in entries and bytes. Evicts the least recently used entry. All times are
+/// microseconds of one clock.
 class Cache {
  public:
   explicit Cache(const Settings& settings) : settings_(settings) {}
 
   struct Found {
-    const Result* result = nullptr;  // fresh; valid until the next change
-    bool refresh = false;            // and better asked again soon
-    Micros askNotBefore = 0;         // a failure holds the question until then
+    /// The result if it has not expired, else null. Valid until the next change of the cache.
+    const Result* result = nullptr;
+    bool refresh = false;     // the refresh of the result is due
+    Micros backoffUntil = 0;  // after a failure, the question is not sent before this time
   };
   Found find(const Question& question, Micros now);
-  // What may serve though its end has passed; null: nothing.
+  /// The last result, if it has expired by less than `Settings::staleFor` or has not expired; null otherwise.
   const Result* stale(const Question& question, Micros now) const;
 
-  // Keeps what was answered; its lifetime is bounded by the settings. `chance` from 0 to 1 spreads its
-  // refresh. Returns what is kept.
-  const Result& keep(const Question& question, Result result, std::uint32_t ttl, Micros now, double chance);
-  // Nobody could say: what is known stays for stale use, and the question rests a while, longer each time.
-  void failed(const Question& question, Micros now);
+  /// Stores a result. Its lifetime is `ttl` seconds, limited by the settings. `jitter` from 0 to 1 makes its
+  /// refresh earlier. Returns the stored result.
+  const Result& store(const Question& question, Result result, std::uint32_t ttl, Micros now, double jitter);
+  /// Records that no name server gave a usable answer. The last result remains available as stale; the
+  /// question is in backoff, which doubles with each failure.
+  void recordFailure(const Question& question, Micros now);
   void forget(const Question& question);
 
-  // When a question is to be asked again of itself: before its end, spread.
+  /// When the question should be sent again: at the refresh time of its result, or at the end of its backoff.
   Micros refreshAt(const Question& question) const;
 
   std::size_t size() const { return entries_.size(); }
@@ -55,21 +58,21 @@
  private:
   struct Entry {
     Result result;
-    bool known = false;  // result holds something
+    bool hasResult = false;  // false if only failures have been recorded
     Micros refreshAt = 0;
-    Micros heldUntil = 0;
-    int failures = 0;
+    Micros backoffUntil = 0;
+    int failures = 0;  // in a row
     std::size_t bytes = 0;
-    std::list<Question>::iterator used;
+    std::list<Question>::iterator usePosition;  // in recentlyUsed_
   };
   Entry& touch(const Question& question);
-  void weigh(const Question& question, Entry& entry);
-  void makeRoom(const Question& keep);
+  void updateSize(const Question& question, Entry& entry);
+  void evictExcept(const Question& keep);
 
   const Settings& settings_;
   std::map<Question, Entry> entries_;
-  std::list<Question> byUse_;  // the last used first
-  std::size_t bytes_ = 0;
+  std::list<Question> recentlyUsed_;  // most recently used first
+  std::size_t bytes_ = 0;             // estimated size of all entries
 };
 
 }  // namespace peargrade::dns
--- a/src/dns/lookup_schedule.h
+++ b/src/dns/lookup_schedule.h
@@ -1,4 +1,4 @@
-// When a service is looked up next. Free of I/O and clock.
+// Time of the next lookup of a service. Performs no I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -8,36 +8,37 @@
 
 namespace peargrade::dns {
 
-// The schedule of one service. Times in microseconds.
+/// The lookup schedule of one service. Times in microseconds.
 class LookupSchedule {
  public:
   explicit LookupSchedule(const Settings& settings) : settings_(settings) {}
 
-  // From now; `chance` from 0 to 1 spreads it, so that those who learned together do not ask together. An
-  // answer that is whole is asked for again before its end; one that is not, after a hold that doubles up to
-  // 30 s, unless what is known ends sooner. `soonest`: no later than this (0: no such bound).
-  Micros after(const Service& service, Micros now, double chance, Micros soonest) {
+  /// The delay until the next lookup. A complete result is refreshed before the earliest end of its
+  /// lifetimes. A partial or failed result is retried after a backoff that doubles up to 30 s. `jitter` from
+  /// 0 to 1 shortens the delay, so that resolvers that got the same answer together do not refresh it
+  /// together. `maxDelay` limits the delay; 0 sets no limit.
+  Micros after(const Service& service, Micros now, double jitter, Micros maxDelay) {
     Micros wait = 0;
     if (service.kind == Service::Kind::Complete) {
       failures_ = 0;
       Micros until = service.until;
-      for (const Target& t : service.targets) {
-        until = std::min(until, t.until);
-        if (!t.sure) until = std::min(until, now + settings_.failureHold);
+      for (const Target& target : service.targets) {
+        until = std::min(until, target.until);
+        if (!target.sure) until = std::min(until, now + settings_.failureHold);
       }
-      const double share = settings_.refreshAt - settings_.spread * chance;
+      const double fraction = settings_.refreshAt - settings_.spread * jitter;
       wait = std::max(settings_.ttlLeast / 2,
-                      static_cast<Micros>(static_cast<double>(std::max<Micros>(0, until - now)) * share));
+                      static_cast<Micros>(static_cast<double>(std::max<Micros>(0, until - now)) * fraction));
     } else {
-      wait = std::min(kHoldMost, settings_.failureHold << std::min(failures_, 10));
-      wait -= static_cast<Micros>(static_cast<double>(wait) * settings_.spread * chance);
+      wait = std::min(kMaxBackoff, settings_.failureHold << std::min(failures_, 10));
+      wait -= static_cast<Micros>(static_cast<double>(wait) * settings_.spread * jitter);
       ++failures_;
     }
-    return soonest > 0 ? std::min(wait, soonest) : wait;
+    return maxDelay > 0 ? std::min(wait, maxDelay) : wait;
   }
 
  private:
-  static constexpr Micros kHoldMost = 30000000;
+  static constexpr Micros kMaxBackoff = 30000000;
 
   const Settings& settings_;
   int failures_ = 0;  // in a row
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -23,55 +23,58 @@
   void operator()(void* p) const { std::free(p); }
 };
 
-constexpr std::size_t kHeader = 12;
-constexpr std::uint32_t kTtlMost = 0x7FFFFFFF;  // seconds (RFC 2181, section 8)
-constexpr unsigned char kTruncatedBit = 0x02, kResponseBit = 0x80;
+constexpr std::size_t kHeaderSize = 12;
+constexpr std::uint32_t kMaxTtlSeconds = 0x7FFFFFFF;  // RFC 2181, section 8
+// Flags in the third octet of the header (RFC 1035, section 4.1.1).
+constexpr unsigned char kTruncatedBit = 0x02;
+constexpr unsigned char kResponseBit = 0x80;
 
-std::string textOf(const ldns_rdf* name) {
+std::string formatName(const ldns_rdf* name) {
   const std::unique_ptr<char, CFree> text(ldns_rdf2str(name));
   return text ? canonical(text.get()) : "";
 }
 
-std::string ownerOf(const ldns_rr* rr) { return textOf(ldns_rr_owner(rr)); }
+std::string ownerName(const ldns_rr* rr) { return formatName(ldns_rr_owner(rr)); }
 
-std::uint32_t ttlOf(const ldns_rr* rr) {
+std::uint32_t recordTtl(const ldns_rr* rr) {
   const std::uint32_t ttl = ldns_rr_ttl(rr);
-  return ttl > kTtlMost ? 0 : ttl;
+  return ttl > kMaxTtlSeconds ? 0 : ttl;
 }
 
-bool inOrUnder(const std::string& name, const std::string& zone) {
+bool isInZone(const std::string& name, const std::string& zone) {
   if (zone.empty() || name == zone) return true;
   return name.size() > zone.size() && name.compare(name.size() - zone.size(), zone.size(), zone) == 0 &&
          name[name.size() - zone.size() - 1] == '.';
 }
 
-bool readAddress(const ldns_rdf* data, int family, Record& record) {
+bool parseAddress(const ldns_rdf* data, int family, Record& record) {
   char text[INET6_ADDRSTRLEN];
-  const std::size_t due = family == AF_INET ? 4 : 16;
-  if (ldns_rdf_size(data) != due || inet_ntop(family, ldns_rdf_data(data), text, sizeof text) == nullptr)
+  const std::size_t expectedSize = family == AF_INET ? 4 : 16;
+  if (ldns_rdf_size(data) != expectedSize ||
+      inet_ntop(family, ldns_rdf_data(data), text, sizeof text) == nullptr)
     return false;
   record.value = text;
   return true;
 }
 
-// False where the data does not fit its type.
-bool read(const ldns_rr* rr, Record& record) {
-  record.ttl = ttlOf(rr);
+// Returns false if the data does not match the record type.
+bool parseRecord(const ldns_rr* rr, Record& record) {
+  record.ttl = recordTtl(rr);
   switch (record.type) {
     case Type::A:
-      return ldns_rr_rd_count(rr) == 1 && readAddress(ldns_rr_rdf(rr, 0), AF_INET, record);
+      return ldns_rr_rd_count(rr) == 1 && parseAddress(ldns_rr_rdf(rr, 0), AF_INET, record);
     case Type::AAAA:
-      return ldns_rr_rd_count(rr) == 1 && readAddress(ldns_rr_rdf(rr, 0), AF_INET6, record);
+      return ldns_rr_rd_count(rr) == 1 && parseAddress(ldns_rr_rdf(rr, 0), AF_INET6, record);
     case Type::CNAME:
       if (ldns_rr_rd_count(rr) != 1) return false;
-      record.value = textOf(ldns_rr_rdf(rr, 0));
+      record.value = formatName(ldns_rr_rdf(rr, 0));
       return true;
     case Type::SRV:
       if (ldns_rr_rd_count(rr) != 4) return false;
       record.priority = ldns_rdf2native_int16(ldns_rr_rdf(rr, 0));
       record.weight = ldns_rdf2native_int16(ldns_rr_rdf(rr, 1));
       record.port = ldns_rdf2native_int16(ldns_rr_rdf(rr, 2));
-      record.value = textOf(ldns_rr_rdf(rr, 3));
+      record.value = formatName(ldns_rr_rdf(rr, 3));
       return true;
     case Type::SOA:
       return false;
@@ -79,63 +82,66 @@
   return false;
 }
 
-// What a message says of names, as far as it is of a type that matters.
-struct Said {
-  std::map<std::string, std::vector<Record>> wanted;  // by owner, of the type asked
-  std::map<std::string, Record> aliases;              // by owner
-  bool contradiction = false, malformed = false;
+// The records of an answer section that may answer the question.
+struct AnswerSection {
+  std::map<std::string, std::vector<Record>> recordsByOwner;  // of the requested type
+  std::map<std::string, Record> aliasesByOwner;               // CNAMEs
+  bool contradiction = false;
+  bool malformed = false;
 };
 
-Said gather(const ldns_rr_list* section, Type type, int& unasked) {
-  Said said;
+AnswerSection parseAnswerSection(const ldns_rr_list* section, Type type, int& skippedRecords) {
+  AnswerSection parsedSection;
   for (std::size_t k = 0; k < ldns_rr_list_rr_count(section); ++k) {
     const ldns_rr* rr = ldns_rr_list_rr(section, k);
     const bool alias = ldns_rr_get_type(rr) == LDNS_RR_TYPE_CNAME;
     if (ldns_rr_get_class(rr) != LDNS_RR_CLASS_IN ||
         (!alias && static_cast<std::uint16_t>(ldns_rr_get_type(rr)) != static_cast<std::uint16_t>(type))) {
-      ++unasked;
+      ++skippedRecords;
       continue;
     }
     Record record;
     record.type = alias ? Type::CNAME : type;
-    if (!read(rr, record)) {
-      said.malformed = true;
+    if (!parseRecord(rr, record)) {
+      parsedSection.malformed = true;
       continue;
     }
-    const std::string owner = ownerOf(rr);
+    const std::string owner = ownerName(rr);
     if (alias) {
-      const auto [at, fresh] = said.aliases.emplace(owner, record);
-      if (!fresh && at->second.value != record.value) said.contradiction = true;
+      const auto [at, inserted] = parsedSection.aliasesByOwner.emplace(owner, record);
+      if (!inserted && at->second.value != record.value) parsedSection.contradiction = true;
     } else {
-      said.wanted[owner].push_back(record);
+      parsedSection.recordsByOwner[owner].push_back(record);
     }
   }
-  return said;
+  return parsedSection;
 }
 
-// The lifetime of "there is none": the lesser of the SOA's own and its last field (RFC 2308, section 5).
-void readSoa(const ldns_rr_list* section, const std::string& name, Answer& answer) {
+// Sets the lifetime of a negative answer: the minimum of the TTL and the MINIMUM field of the SOA (RFC 2308,
+// section 5).
+void parseNegativeTtl(const ldns_rr_list* section, const std::string& name, Answer& answer) {
   for (std::size_t k = 0; k < ldns_rr_list_rr_count(section); ++k) {
     const ldns_rr* rr = ldns_rr_list_rr(section, k);
     if (ldns_rr_get_type(rr) != LDNS_RR_TYPE_SOA || ldns_rr_rd_count(rr) != 7) continue;
-    if (!inOrUnder(name, ownerOf(rr))) continue;
-    const std::uint32_t least = ldns_rdf2native_int32(ldns_rr_rdf(rr, 6));
-    answer.ttl = std::min(ttlOf(rr), least > kTtlMost ? 0 : least);
+    if (!isInZone(name, ownerName(rr))) continue;
+    const std::uint32_t minimum = ldns_rdf2native_int32(ldns_rr_rdf(rr, 6));
+    answer.ttl = std::min(recordTtl(rr), minimum > kMaxTtlSeconds ? 0 : minimum);
     answer.soa = true;
     return;
   }
 }
 
-bool pointsElsewhere(const ldns_rr_list* authority) {
+bool hasNameServers(const ldns_rr_list* authority) {
   for (std::size_t k = 0; k < ldns_rr_list_rr_count(authority); ++k) {
     if (ldns_rr_get_type(ldns_rr_list_rr(authority, k)) == LDNS_RR_TYPE_NS) return true;
   }
   return false;
 }
 
-// One record for each thing said, in an order that does not depend on the message's. Of an SRV target with
-// two priorities or weights the better holds.
-std::vector<Record> settled(std::vector<Record> records) {
+// Sorts the records and removes duplicates, so that the result does not depend on their order in the message.
+// Of several SRV records with the same target and port, keeps the one with the lowest priority value, then
+// the highest weight.
+std::vector<Record> sortedUnique(std::vector<Record> records) {
   std::sort(records.begin(), records.end(), [](const Record& a, const Record& b) {
     return std::tuple(a.value, a.port, a.priority, -static_cast<int>(a.weight)) <
            std::tuple(b.value, b.port, b.priority, -static_cast<int>(b.weight));
@@ -145,7 +151,7 @@
   return records;
 }
 
-Verdict refusalOf(ldns_pkt_rcode code) {
+Verdict verdictOfErrorCode(ldns_pkt_rcode code) {
   switch (code) {
     case LDNS_RCODE_REFUSED:
       return Verdict::Refused;
@@ -158,92 +164,95 @@
   }
 }
 
-// Whether the message is a response to this question.
-bool isAnswerTo(const Question& question, const ldns_pkt* packet, bool refused) {
+// Whether the question section of the response matches the question.
+bool answersQuestion(const Question& question, const ldns_pkt* packet, bool isError) {
   if (ldns_pkt_get_opcode(packet) != LDNS_PACKET_QUERY) return false;
-  const ldns_rr_list* asked = ldns_pkt_question(packet);
-  // Some servers leave the question out of a refusal; the id and the address have to do there.
-  if (refused && ldns_rr_list_rr_count(asked) == 0) return true;
-  if (ldns_rr_list_rr_count(asked) != 1) return false;
-  const ldns_rr* rr = ldns_rr_list_rr(asked, 0);
-  return ownerOf(rr) == question.name && ldns_rr_get_class(rr) == LDNS_RR_CLASS_IN &&
+  const ldns_rr_list* questionSection = ldns_pkt_question(packet);
+  // Some servers omit the question from an error response; the caller has checked the id, and the socket the
+  // address.
+  if (isError && ldns_rr_list_rr_count(questionSection) == 0) return true;
+  if (ldns_rr_list_rr_count(questionSection) != 1) return false;
+  const ldns_rr* rr = ldns_rr_list_rr(questionSection, 0);
+  return ownerName(rr) == question.name && ldns_rr_get_class(rr) == LDNS_RR_CLASS_IN &&
          static_cast<std::uint16_t>(ldns_rr_get_type(rr)) == static_cast<std::uint16_t>(question.type);
 }
 
-// Records of the type that was asked at other names.
-int countOthers(const Said& said, const std::string& name) {
+// Counts the records of the requested type at owners other than `name`.
+int countOtherOwners(const AnswerSection& parsedSection, const std::string& name) {
   int count = 0;
-  for (const auto& [owner, records] : said.wanted) {
+  for (const auto& [owner, records] : parsedSection.recordsByOwner) {
     if (owner != name) count += static_cast<int>(records.size());
   }
   return count;
 }
 
-// Of a response without the records that were asked for, and without a chain.
-Verdict withoutRecords(const ldns_pkt* packet, const Answer& answer) {
-  return !answer.soa && pointsElsewhere(ldns_pkt_authority(packet)) ? Verdict::Lame : Verdict::NoData;
+// The verdict of a response without records of the requested type and without a CNAME chain.
+Verdict verdictWithoutRecords(const ldns_pkt* packet, const Answer& answer) {
+  return !answer.soa && hasNameServers(ldns_pkt_authority(packet)) ? Verdict::Lame : Verdict::NoData;
 }
 
-// Whether the bytes are a response with this id.
+// Whether the header is complete, has the response flag and this id.
 bool isResponse(const std::string& bytes, std::uint16_t id) {
-  const auto* head = reinterpret_cast<const unsigned char*>(bytes.data());
-  return bytes.size() >= kHeader && (head[0] << 8 | head[1]) == id && (head[2] & kResponseBit) != 0;
+  const auto* header = reinterpret_cast<const unsigned char*>(bytes.data());
+  return bytes.size() >= kHeaderSize && (header[0] << 8 | header[1]) == id && (header[2] & kResponseBit) != 0;
 }
 
-// From the name that was asked along its CNAMEs; what hangs on no link of that chain was not asked for.
-// `name` becomes the end of the chain, `ttl` the least lifetime on it. False where the chain contradicts
-// itself or is longer than `most`.
-bool followAliases(const Said& said, int most, std::string& name, std::uint32_t& ttl,
+// Follows the CNAMEs from `name`, so that records outside of this chain are not used. Sets `name` to the end
+// of the chain and lowers `ttl` to the minimum TTL of the chain. Returns false if the chain has a loop or
+// more than `maxLength` CNAMEs, or if a name has both a CNAME and other records.
+bool followAliases(const AnswerSection& parsedSection, int maxLength, std::string& name, std::uint32_t& ttl,
                    std::vector<std::string>& chain) {
   std::set<std::string> seen{name};
-  for (auto alias = said.aliases.find(name); alias != said.aliases.end(); alias = said.aliases.find(name)) {
-    if (said.wanted.count(name) != 0) return false;  // RFC 1034, section 3.6.2
+  for (auto alias = parsedSection.aliasesByOwner.find(name); alias != parsedSection.aliasesByOwner.end();
+       alias = parsedSection.aliasesByOwner.find(name)) {
+    if (parsedSection.recordsByOwner.count(name) != 0) return false;  // RFC 1034, section 3.6.2
     ttl = std::min(ttl, alias->second.ttl);
     name = alias->second.value;
     chain.push_back(name);
-    if (!seen.insert(name).second || static_cast<int>(chain.size()) > most) return false;
+    if (!seen.insert(name).second || static_cast<int>(chain.size()) > maxLength) return false;
   }
   return true;
 }
 
-// What a response says; its records and lifetimes go to `answer`.
-Verdict read(const std::string& bytes, const Question& question, const Bounds& bounds, Answer& answer) {
+// Parses a response and stores its records and lifetime in `answer`.
+Verdict parseResponse(const std::string& bytes, const Question& question, const Bounds& bounds,
+                      Answer& answer) {
   const bool truncated = (bytes[2] & kTruncatedBit) != 0;
   ldns_pkt* parsed = nullptr;
   const ldns_status status =
       ldns_wire2pkt(&parsed, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   const Packet packet(status == LDNS_STATUS_OK ? parsed : nullptr);
-  // A message cut in the middle of a record still says that there is more.
+  // A message that is cut off inside a record still has its truncation flag, so TCP can be used.
   if (!packet) return truncated ? Verdict::Truncated : Verdict::Malformed;
   const ldns_pkt_rcode code = ldns_pkt_get_rcode(packet.get());
-  const bool refused = code != LDNS_RCODE_NOERROR && code != LDNS_RCODE_NXDOMAIN;
-  if (!isAnswerTo(question, packet.get(), refused)) return Verdict::Stranger;
-  if (refused) return refusalOf(code);
+  const bool isError = code != LDNS_RCODE_NOERROR && code != LDNS_RCODE_NXDOMAIN;
+  if (!answersQuestion(question, packet.get(), isError)) return Verdict::Unrelated;
+  if (isError) return verdictOfErrorCode(code);
 
   const ldns_rr_list* section = ldns_pkt_answer(packet.get());
-  if (ldns_rr_list_rr_count(section) > bounds.records) return Verdict::TooMany;
-  Said said = gather(section, question.type, answer.unasked);
-  if (said.malformed) return Verdict::Malformed;
-  if (said.contradiction) return Verdict::Contradiction;
-
-  std::string at = question.name;
-  std::uint32_t least = kTtlMost;
-  if (!followAliases(said, bounds.chain, at, least, answer.chain)) return Verdict::Contradiction;
-  const auto found = said.wanted.find(at);
-  answer.unasked += countOthers(said, at);
-  if (found != said.wanted.end()) {
+  if (ldns_rr_list_rr_count(section) > bounds.records) return Verdict::TooManyRecords;
+  AnswerSection parsedSection = parseAnswerSection(section, question.type, answer.skippedRecords);
+  if (parsedSection.malformed) return Verdict::Malformed;
+  if (parsedSection.contradiction) return Verdict::Contradiction;
+
+  std::string name = question.name;
+  std::uint32_t ttl = kMaxTtlSeconds;
+  if (!followAliases(parsedSection, bounds.chain, name, ttl, answer.chain)) return Verdict::Contradiction;
+  const auto found = parsedSection.recordsByOwner.find(name);
+  answer.skippedRecords += countOtherOwners(parsedSection, name);
+  if (found != parsedSection.recordsByOwner.end()) {
     if (code == LDNS_RCODE_NXDOMAIN) return Verdict::Contradiction;
-    for (const Record& r : found->second) least = std::min(least, r.ttl);
-    answer.records = settled(found->second);
-    answer.ttl = least;
+    for (const Record& record : found->second) ttl = std::min(ttl, record.ttl);
+    answer.records = sortedUnique(found->second);
+    answer.ttl = ttl;
     return truncated ? Verdict::Truncated : Verdict::Answer;
   }
   if (truncated) return Verdict::Truncated;
-  readSoa(ldns_pkt_authority(packet.get()), at, answer);
+  parseNegativeTtl(ldns_pkt_authority(packet.get()), name, answer);
   if (code == LDNS_RCODE_NXDOMAIN) return Verdict::NxDomain;
-  const bool chain = !answer.chain.empty() && !answer.soa;
-  if (chain) answer.ttl = least;
-  return chain ? Verdict::Chain : withoutRecords(packet.get(), answer);
+  const bool openChain = !answer.chain.empty() && !answer.soa;
+  if (openChain) answer.ttl = ttl;
+  return openChain ? Verdict::Chain : verdictWithoutRecords(packet.get(), answer);
 }
 
 }  // namespace
@@ -286,13 +295,13 @@
       return "notimp";
     case Verdict::Lame:
       return "lame";
-    case Verdict::Stranger:
+    case Verdict::Unrelated:
       return "stranger";
     case Verdict::Malformed:
       return "malformed";
     case Verdict::Contradiction:
       return "contradiction";
-    case Verdict::TooMany:
+    case Verdict::TooManyRecords:
       return "too-many";
   }
   return "?";
@@ -306,20 +315,20 @@
 
 bool isName(const std::string& name) {
   if (name.empty() || name.size() > 253) return false;
-  std::size_t label = 0;
+  std::size_t labelLength = 0;
   for (const char c : name) {
-    const bool good = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                      c == '-' || c == '_' || c == '.';
-    if (!good || (c == '.' && label == 0)) return false;
-    label = c == '.' ? 0 : label + 1;
-    if (label > 63) return false;
+    const bool allowed = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+                         c == '-' || c == '_' || c == '.';
+    if (!allowed || (c == '.' && labelLength == 0)) return false;
+    labelLength = c == '.' ? 0 : labelLength + 1;
+    if (labelLength > 63) return false;
   }
   return true;
 }
 
 std::string encode(const Question& question, std::uint16_t id, int payload) {
   ldns_rdf* name = ldns_dname_new_frm_str((question.name + ".").c_str());
-  if (name == nullptr) throw std::invalid_argument("no domain name: " + question.name);
+  if (name == nullptr) throw std::invalid_argument("invalid domain name: '" + question.name + "'");
   const Packet packet(
       ldns_pkt_query_new(name, static_cast<ldns_rr_type>(question.type), LDNS_RR_CLASS_IN, LDNS_RD));
   if (!packet) throw std::bad_alloc();
@@ -328,18 +337,18 @@
   std::uint8_t* wire = nullptr;
   std::size_t size = 0;
   if (ldns_pkt2wire(&wire, packet.get(), &size) != LDNS_STATUS_OK) throw std::bad_alloc();
-  const std::unique_ptr<std::uint8_t, CFree> held(wire);
+  const std::unique_ptr<std::uint8_t, CFree> owned(wire);
   return {reinterpret_cast<const char*>(wire), size};
 }
 
 Answer decode(const std::string& bytes, const Question& question, std::uint16_t id, const Bounds& bounds) {
   Answer answer;
   if (!isResponse(bytes, id))
-    answer.verdict = Verdict::Stranger;
+    answer.verdict = Verdict::Unrelated;
   else if (bytes.size() > bounds.bytes)
     answer.verdict = Verdict::Malformed;
   else
-    answer.verdict = read(bytes, question, bounds, answer);
+    answer.verdict = parseResponse(bytes, question, bounds, answer);
   if (answer.verdict != Verdict::Answer && answer.verdict != Verdict::Truncated) answer.records.clear();
   return answer;
 }
--- a/src/dns/message.h
+++ b/src/dns/message.h
@@ -1,6 +1,5 @@
-// Questions and answers of the Domain Name System (RFC 1034, 1035, 2782, 3596, 6891) on the wire, by ldns.
-// What is not an answer to the question that was asked is told apart here, and nothing else of a message gets
-// out.
+// Encoding of questions and decoding of answers of the Domain Name System (RFC 1034, 1035, 2782, 3596, 6891),
+// with ldns. Decoding classifies a response against its question and returns only the records that answer it.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +10,17 @@
 
 namespace peargrade::dns {
 
-// RFC 1035, section 3.2.2; AAAA: RFC 3596; SRV: RFC 2782.
+/// Record types. RFC 1035, section 3.2.2; AAAA: RFC 3596; SRV: RFC 2782.
 enum class Type : std::uint16_t { A = 1, CNAME = 5, SOA = 6, AAAA = 28, SRV = 33 };
 const char* nameOf(Type type);
 
-// A name in lower case without the dot at its end; "" is the root.
+/// The name in lower case without the trailing dot; "" is the root.
 std::string canonical(std::string name);
-bool isName(const std::string& name);  // could stand in a question (RFC 1035, section 2.3.4)
+/// Whether the name is valid in a question: letters, digits, "-", "_", and the lengths of RFC 1035,
+/// section 2.3.4.
+bool isName(const std::string& name);
 
-// What is asked of a name server, of class IN.
+/// A question of class IN.
 struct Question {
   std::string name;  // canonical
   Type type = Type::A;
@@ -28,58 +29,61 @@
   std::string text() const { return name + " " + nameOf(type); }
 };
 
-// One record of an answer.
+/// One record of an answer.
 struct Record {
   Type type = Type::A;
-  std::uint32_t ttl = 0;  // seconds; with its highest bit set it counts as 0 (RFC 2181, section 8)
-  std::string value;      // A, AAAA: the address as text; CNAME, SRV: the target, canonical
-  std::uint16_t priority = 0, weight = 0, port = 0;  // SRV
+  std::uint32_t ttl = 0;       // seconds; 0 if the highest bit was set (RFC 2181, section 8)
+  std::string value;           // A, AAAA: the address as text; CNAME, SRV: the target, canonical
+  std::uint16_t priority = 0;  // SRV
+  std::uint16_t weight = 0;    // SRV
+  std::uint16_t port = 0;      // SRV
   bool operator==(const Record& o) const {
     return type == o.type && value == o.value && priority == o.priority && weight == o.weight &&
            port == o.port;
   }
 };
 
-// What a response, or its absence, means for the question.
+/// Classification of a response to a question, or of its absence.
 enum class Verdict {
-  Answer,     // records of the type that was asked, at the name or at the end of its chain
-  NoData,     // the name is there, the type is not
-  NxDomain,   // the name is not there
-  Chain,      // CNAMEs that lead to a name the message says nothing of
-  Truncated,  // more there is, over TCP; `records` may hold some
-  ServFail,   // and below: what the server did not want to or could not answer
+  Answer,     // records of the requested type, at the name or at the end of its CNAME chain
+  NoData,     // the name exists, but has no records of this type
+  NxDomain,   // the name does not exist
+  Chain,      // CNAMEs that lead to a name for which the message has no data
+  Truncated,  // incomplete: the full answer is available over TCP; `records` may hold a part
+  ServFail,   // this and the next three: the server failed or refused to answer
   Refused,
   FormErr,
   NotImp,
-  Lame,           // points elsewhere instead of answering
-  Stranger,       // not an answer to this question: other id, name, type or class, or no answer at all
-  Malformed,      // carries the id that was asked and cannot be read
-  Contradiction,  // says two things of one name
-  TooMany,        // more records than may be
+  Lame,            // a referral to other name servers instead of an answer
+  Unrelated,       // not a response to this question: other id, name, type or class, or no response at all
+  Malformed,       // has the id of the query, but cannot be parsed or is too long
+  Contradiction,   // conflicting records for one name
+  TooManyRecords,  // more records than Bounds::records
 };
-// As logs and answers have it: "nxdomain".
+/// The name in logs and command output, e.g. "nxdomain".
 const char* nameOf(Verdict verdict);
 
-// What one response says.
+/// The decoded content of one response.
 struct Answer {
   Verdict verdict = Verdict::Malformed;
-  std::vector<Record> records;     // of the type asked, each once, in an order of their own
-  std::vector<std::string> chain;  // names that CNAMEs led to, in order
-  std::uint32_t ttl = 0;           // seconds; least of records and chain, or of a negative answer (RFC 2308)
-  bool soa = false;                // a negative answer with the SOA that bounds its lifetime
-  int unasked = 0;                 // records left out: other names, types, classes
+  std::vector<Record> records;     // of the requested type, without duplicates, sorted
+  std::vector<std::string> chain;  // targets of the CNAMEs, in order
+  std::uint32_t ttl = 0;   // seconds; minimum of records and chain, or of the negative answer (RFC 2308)
+  bool soa = false;        // a negative answer with the SOA that limits its lifetime
+  int skippedRecords = 0;  // records that do not answer the question: other names, types, classes
 };
 
-// What a response may hold at most.
+/// Limits of one response.
 struct Bounds {
   std::size_t records = 4096;
-  int chain = 8;
-  std::size_t bytes = 65535;  // of a message
+  int chain = 8;              // CNAMEs
+  std::size_t bytes = 65535;  // of the message
 };
 
-// `payload` 0: without EDNS(0).
+/// Encodes a query. `payload` is the EDNS(0) buffer size; 0 sends no EDNS(0). Throws std::invalid_argument if
+/// the name is invalid.
 std::string encode(const Question& question, std::uint16_t id, int payload);
-// Never throws for what the bytes hold.
+/// Decodes and classifies a response to `question`. Invalid input does not throw.
 Answer decode(const std::string& bytes, const Question& question, std::uint16_t id, const Bounds& bounds);
 
 }  // namespace peargrade::dns
--- a/src/dns/query.cpp
+++ b/src/dns/query.cpp
@@ -5,69 +5,72 @@
 namespace peargrade::dns {
 namespace {
 
-constexpr int kStrangersMost = 32;  // in one wait; more is an attempt to guess, and the port is changed
+// More unrelated answers in one attempt are treated as an attempt to guess the query id: the next attempt
+// uses a new port.
+constexpr int kMaxUnrelatedAnswers = 32;
 
 }  // namespace
 
-void Query::note(Micros now, const std::string& what) {
-  taken_.push_back({step_.server, step_.what == Step::Do::Tcp, since_, now - since_, what});
+void Query::recordStep(Micros now, const std::string& outcome) {
+  taken_.push_back({step_.server, step_.action == Step::Action::Tcp, stepStart_, now - stepStart_, outcome});
 }
 
-Query::Step Query::another(Micros now) {
-  if (tries_ >= settings_.tries) return step_ = Step{};
-  const Micros wait = std::min(settings_.tryMost, settings_.tryFor << std::min(tries_, 12));
-  ++tries_;
-  strangers_ = 0;
-  since_ = now;
-  const std::size_t server = servers_.next(now, tried_);
-  tried_.insert(server);
-  return step_ = Step{Step::Do::Udp, server, wait, !plain_};
+Query::Step Query::nextAttempt(Micros now) {
+  if (attempts_ >= settings_.tries) return step_ = Step{};
+  const Micros wait = std::min(settings_.tryMost, settings_.tryFor << std::min(attempts_, 12));
+  ++attempts_;
+  unrelatedAnswers_ = 0;
+  stepStart_ = now;
+  const std::size_t server = servers_.select(now, triedServers_);
+  triedServers_.insert(server);
+  return step_ = Step{Step::Action::Udp, server, wait, !withoutEdns_};
 }
 
-Query::Step Query::answered(const Answer& answer, Micros now, bool& ignored) {
+Query::Step Query::onAnswer(const Answer& answer, Micros now, bool& ignored) {
   ignored = false;
-  const bool tcp = step_.what == Step::Do::Tcp;
+  const bool tcp = step_.action == Step::Action::Tcp;
   switch (answer.verdict) {
-    case Verdict::Stranger:
-      // Over TCP nobody else can have sent it.
-      if (tcp || ++strangers_ > kStrangersMost) return failed(now, nameOf(answer.verdict));
+    case Verdict::Unrelated:
+      // A TCP answer comes from the server itself, so an unrelated one is a failure of the server.
+      if (tcp || ++unrelatedAnswers_ > kMaxUnrelatedAnswers) return onFailure(now, nameOf(answer.verdict));
       ignored = true;
       return step_;
     case Verdict::Answer:
     case Verdict::NoData:
     case Verdict::NxDomain:
     case Verdict::Chain:
-      note(now, nameOf(answer.verdict));
-      servers_.answered(step_.server, now - since_);
-      best_ = answer;
+      recordStep(now, nameOf(answer.verdict));
+      servers_.recordAnswer(step_.server, now - stepStart_);
+      bestAnswer_ = answer;
       return step_ = Step{};
     case Verdict::Truncated:
-      if (answer.records.size() > best_.records.size() || best_.verdict != Verdict::Truncated) best_ = answer;
-      if (tcp) return failed(now, nameOf(answer.verdict));
-      note(now, nameOf(answer.verdict));
-      since_ = now;
-      return step_ = Step{Step::Do::Tcp, step_.server, settings_.tcpFor, step_.edns};
+      if (answer.records.size() > bestAnswer_.records.size() || bestAnswer_.verdict != Verdict::Truncated)
+        bestAnswer_ = answer;
+      if (tcp) return onFailure(now, nameOf(answer.verdict));
+      recordStep(now, nameOf(answer.verdict));
+      stepStart_ = now;
+      return step_ = Step{Step::Action::Tcp, step_.server, settings_.tcpFor, step_.edns};
     case Verdict::FormErr:
     case Verdict::NotImp:
-      // A server from before EDNS(0) says so of the question (RFC 6891, section 7).
+      // A server without EDNS(0) support rejects the query (RFC 6891, section 7): repeat it without EDNS(0).
       if (step_.edns) {
-        note(now, nameOf(answer.verdict));
-        plain_ = true;
-        since_ = now;
+        recordStep(now, nameOf(answer.verdict));
+        withoutEdns_ = true;
+        stepStart_ = now;
         step_.edns = false;
         return step_;
       }
-      return failed(now, nameOf(answer.verdict));
+      return onFailure(now, nameOf(answer.verdict));
     default:
-      if (best_.verdict != Verdict::Truncated) best_.verdict = answer.verdict;
-      return failed(now, nameOf(answer.verdict));
+      if (bestAnswer_.verdict != Verdict::Truncated) bestAnswer_.verdict = answer.verdict;
+      return onFailure(now, nameOf(answer.verdict));
   }
 }
 
-Query::Step Query::failed(Micros now, const char* why) {
-  note(now, why);
-  servers_.failed(step_.server, now);
-  return another(now);
+Query::Step Query::onFailure(Micros now, const char* why) {
+  recordStep(now, why);
+  servers_.recordFailure(step_.server, now);
+  return nextAttempt(now);
 }
 
 }  // namespace peargrade::dns
--- a/src/dns/query.h
+++ b/src/dns/query.h
@@ -1,5 +1,5 @@
-// The life of one question: which server, which transport, how long to wait, when to give up. Free of I/O and
-// clock: it is told what came and says what to do next.
+// State machine of one query: server, transport and timeout of each attempt. Performs no I/O and reads no
+// clock: the caller reports events and executes the step that is returned.
 #pragma once
 
 #include <set>
@@ -10,49 +10,51 @@
 
 namespace peargrade::dns {
 
-// One question on its way from server to server, over UDP and TCP. Times in microseconds.
+/// One question, sent to one server after the other over UDP and TCP. Times in microseconds.
 class Query {
  public:
   struct Step {
-    enum class Do { Udp, Tcp, Done } what = Do::Done;
-    std::size_t server = 0;
-    Micros wait = 0;  // for the answer
-    bool edns = true;
+    enum class Action { Udp, Tcp, Done } action = Action::Done;
+    std::size_t server = 0;  // index in Settings::servers
+    Micros wait = 0;         // timeout of the answer
+    bool edns = true;        // send with EDNS(0)
   };
 
   Query(const Settings& settings, Servers& servers) : settings_(settings), servers_(servers) {}
 
-  Step begin(Micros now) { return another(now); }
-  // An answer came from the server and over the transport of the last step. Nothing is to be done where
-  // `ignored` is set: the wait goes on, as whoever sent it may not be the server.
-  Step answered(const Answer& answer, Micros now, bool& ignored);
-  // The wait is over, or the transport failed.
-  Step failed(Micros now, const char* why);
-
-  // After Done: what is known. A truncated answer whose rest never came has the verdict Truncated.
-  const Answer& result() const { return best_; }
-  // The steps that were taken, for people.
+  Step begin(Micros now) { return nextAttempt(now); }
+  /// Takes an answer that arrived from the server and over the transport of the last step. If `ignored` is
+  /// set, the caller keeps waiting: the sender may not be the server.
+  Step onAnswer(const Answer& answer, Micros now, bool& ignored);
+  /// Takes a timeout or a transport failure.
+  Step onFailure(Micros now, const char* why);
+
+  /// The result, after Action::Done. A truncated answer whose remainder could not be fetched has the verdict
+  /// Truncated.
+  const Answer& result() const { return bestAnswer_; }
+  /// One executed step, for the operator's display.
   struct Taken {
     std::size_t server;
     bool tcp;
-    Micros at, took;
+    Micros at;         // start of the step
+    Micros took;       // duration
     std::string what;  // a verdict, or why the transport failed
   };
   const std::vector<Taken>& taken() const { return taken_; }
 
  private:
-  Step another(Micros now);
-  void note(Micros now, const std::string& what);
+  Step nextAttempt(Micros now);
+  void recordStep(Micros now, const std::string& outcome);
 
   const Settings& settings_;
   Servers& servers_;
-  std::set<std::size_t> tried_;
+  std::set<std::size_t> triedServers_;
   Step step_;
-  int tries_ = 0;
-  int strangers_ = 0;  // in this wait
-  Micros since_ = 0;
-  bool plain_ = false;  // a server that does not know EDNS(0) was met
-  Answer best_{Verdict::ServFail, {}, {}, 0, false, 0};
+  int attempts_ = 0;
+  int unrelatedAnswers_ = 0;  // in the current attempt
+  Micros stepStart_ = 0;
+  bool withoutEdns_ = false;  // a server rejected a query with EDNS(0)
+  Answer bestAnswer_{Verdict::ServFail, {}, {}, 0, false, 0};
   std::vector<Taken> taken_;
 };
 
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -6,12 +6,12 @@
 
 Resolver::Active::Active(Resolver& owner, const Question& question)
     : owner(owner),
-      asked(question),
+      originalQuestion(question),
       question(question),
       query(std::make_unique<Query>(owner.settings_, owner.servers_)),
-      begun(owner.clock_()),
-      wait(owner.base_, [this] { this->owner.onTimeout(*this); }),
-      whole(owner.base_, [this] { this->owner.onTooLong(*this); }) {}
+      startedAt(owner.clock_()),
+      stepTimeout(owner.base_, [this] { this->owner.onTimeout(*this); }),
+      lookupTimeout(owner.base_, [this] { this->owner.onLookupTimeout(*this); }) {}
 
 Resolver::Resolver(event_base* base, const Settings& settings, Clock clock, Random random, log::Log& log)
     : base_(base),
@@ -21,9 +21,9 @@
       log_(log),
       servers_(settings.servers.size()),
       cache_(settings_),
-      cleaner_(base, [this] {
-        over_.clear();
-        next();
+      cleanupTimer_(base, [this] {
+        finished_.clear();
+        startQueued();
       }) {}
 
 Resolver::~Resolver() {
@@ -31,9 +31,9 @@
 }
 
 Result Resolver::failedResult(const Question& question, Verdict verdict) {
-  if (const Result* known = cache_.stale(question, clock_())) {
+  if (const Result* cached = cache_.stale(question, clock_())) {
     ++counts_.stale;
-    Result result = *known;
+    Result result = *cached;
     result.stale = true;
     result.verdict = verdict;
     return result;
@@ -43,78 +43,78 @@
   return result;
 }
 
-void Resolver::resolve(const Question& question, Told told, bool fresh) {
-  const auto under = active_.find(question);
-  if (under != active_.end()) return under->second->waiting.push_back(std::move(told));
+void Resolver::resolve(const Question& question, ResultCallback callback, bool bypassCache) {
+  const auto running = active_.find(question);
+  if (running != active_.end()) return running->second->callbacks.push_back(std::move(callback));
   const Cache::Found found = cache_.find(question, clock_());
-  if (found.result != nullptr && (!fresh || found.askNotBefore > clock_())) {
+  if (found.result != nullptr && (!bypassCache || found.backoffUntil > clock_())) {
     ++counts_.cached;
     const Result result = *found.result;
-    return told(result);
+    return callback(result);
   }
-  if (settings_.servers.empty() || found.askNotBefore > clock_())
-    return told(failedResult(question, Verdict::ServFail));
-  const auto queued = queued_.find(question);
-  if (queued != queued_.end()) return queued->second.push_back(std::move(told));
-  if (static_cast<int>(active_.size()) < settings_.inFlight) return start(question, std::move(told));
+  if (settings_.servers.empty() || found.backoffUntil > clock_())
+    return callback(failedResult(question, Verdict::ServFail));
+  const auto queued = queuedCallbacks_.find(question);
+  if (queued != queuedCallbacks_.end()) return queued->second.push_back(std::move(callback));
+  if (static_cast<int>(active_.size()) < settings_.inFlight) return start(question, std::move(callback));
   if (queue_.size() >= settings_.waiting) {
-    ++counts_.turnedAway;
-    return told(failedResult(question, Verdict::ServFail));
+    ++counts_.rejected;
+    return callback(failedResult(question, Verdict::ServFail));
   }
   queue_.push_back(question);
-  queued_[question].push_back(std::move(told));
+  queuedCallbacks_[question].push_back(std::move(callback));
 }
 
-void Resolver::start(const Question& question, Told told) {
+void Resolver::start(const Question& question, ResultCallback callback) {
   ++counts_.asked;
   auto owned = std::make_unique<Active>(*this, question);
   Active& active = *owned;
-  active.waiting.push_back(std::move(told));
+  active.callbacks.push_back(std::move(callback));
   active_[question] = std::move(owned);
-  active.whole.schedule(settings_.lookupFor);
-  carryOut(active, active.query->begin(clock_()));
+  active.lookupTimeout.schedule(settings_.lookupFor);
+  executeStep(active, active.query->begin(clock_()));
 }
 
-void Resolver::next() {
+void Resolver::startQueued() {
   while (!queue_.empty() && static_cast<int>(active_.size()) < settings_.inFlight) {
     const Question question = queue_.front();
     queue_.pop_front();
-    auto waiting = queued_.extract(question);
-    start(question, std::move(waiting.mapped().front()));
-    const auto under = active_.find(question);
-    for (std::size_t k = 1; k < waiting.mapped().size(); ++k) {
-      if (under != active_.end())
-        under->second->waiting.push_back(std::move(waiting.mapped()[k]));
+    auto callbacks = queuedCallbacks_.extract(question);
+    start(question, std::move(callbacks.mapped().front()));
+    const auto running = active_.find(question);
+    for (std::size_t k = 1; k < callbacks.mapped().size(); ++k) {
+      if (running != active_.end())
+        running->second->callbacks.push_back(std::move(callbacks.mapped()[k]));
       else
-        waiting.mapped()[k](failedResult(question, Verdict::ServFail));
+        callbacks.mapped()[k](failedResult(question, Verdict::ServFail));
     }
   }
 }
 
-// Each step has a socket, a port and an id of its own.
-void Resolver::carryOut(Active& active, const Query::Step& step) {
+// Each step uses a new socket, port and id.
+void Resolver::executeStep(Active& active, const Query::Step& step) {
   closeTransport(active, log::CloseReason::Discarded, "");
   active.step = step;
   active.id = static_cast<std::uint16_t>(random_());
-  switch (step.what) {
-    case Query::Step::Do::Done:
-      return onDone(active);
-    case Query::Step::Do::Udp:
+  switch (step.action) {
+    case Query::Step::Action::Done:
+      return onQueryDone(active);
+    case Query::Step::Action::Udp:
       return sendUdp(active);
-    case Query::Step::Do::Tcp:
+    case Query::Step::Action::Tcp:
       return sendTcp(active);
   }
 }
 
 void Resolver::sendUdp(Active& active) {
   net::Datagram::Handlers handlers;
-  handlers.data = [this, &active](const std::string& bytes) { onBytes(active, bytes); };
+  handlers.data = [this, &active](const std::string& bytes) { onMessage(active, bytes); };
   handlers.failed = [this, &active](const std::string&) { onFailed(active, "refused"); };
   active.udp = std::make_unique<net::Datagram>(base_, settings_.servers[active.step.server], random_,
                                                std::move(handlers));
-  active.wait.schedule(active.step.wait);
-  // What cannot be sent is taken for lost: the wait bounds it and keeps this from going round in the
-  // callback.
+  active.stepTimeout.schedule(active.step.wait);
+  // A failure to send is handled like a lost datagram: the step then ends with its timeout, and not by
+  // recursion from here.
   active.udp->send(encode(active.question, active.id, active.step.edns ? settings_.payload : 0));
 }
 
@@ -134,38 +134,39 @@
   };
   active.tcp = std::make_unique<net::Stream>(base_, settings_.servers[active.step.server], active.step.wait,
                                              std::move(handlers));
-  active.wait.schedule(active.step.wait);
+  active.stepTimeout.schedule(active.step.wait);
 }
 
-// Two bytes of length before the message (RFC 1035, section 4.2.2), in any pieces (RFC 7766, section 8).
+// A message has a prefix of two octets with its length (RFC 1035, section 4.2.2) and may arrive in any number
+// of pieces (RFC 7766, section 8).
 void Resolver::onTcpData(Active& active, evbuffer* input) {
   const std::size_t size = evbuffer_get_length(input);
-  const std::size_t had = active.input.size();
-  active.input.resize(had + size);
-  evbuffer_remove(input, active.input.data() + had, size);
+  const std::size_t oldSize = active.input.size();
+  active.input.resize(oldSize + size);
+  evbuffer_remove(input, active.input.data() + oldSize, size);
   if (active.input.size() < 2) return;
-  const std::size_t due = static_cast<std::size_t>(static_cast<unsigned char>(active.input[0])) << 8 |
-                          static_cast<unsigned char>(active.input[1]);
-  if (active.input.size() < 2 + due) return;
-  onBytes(active, active.input.substr(2, due));
+  const std::size_t messageSize = static_cast<std::size_t>(static_cast<unsigned char>(active.input[0])) << 8 |
+                                  static_cast<unsigned char>(active.input[1]);
+  if (active.input.size() < 2 + messageSize) return;
+  onMessage(active, active.input.substr(2, messageSize));
 }
 
-void Resolver::onBytes(Active& active, const std::string& bytes) {
-  const bool tcp = active.step.what == Query::Step::Do::Tcp;
+void Resolver::onMessage(Active& active, const std::string& bytes) {
+  const bool tcp = active.step.action == Query::Step::Action::Tcp;
   const Bounds bounds{settings_.records, settings_.chain,
                       tcp ? 65535 : static_cast<std::size_t>(std::max(512, settings_.payload))};
   bool ignored = false;
   const Answer answer = decode(bytes, active.question, active.id, bounds);
-  const Query::Step step = active.query->answered(answer, clock_(), ignored);
+  const Query::Step step = active.query->onAnswer(answer, clock_(), ignored);
   if (ignored) {
     ++counts_.strangers;
     return;
   }
-  carryOut(active, step);
+  executeStep(active, step);
 }
 
 void Resolver::onFailed(Active& active, const char* why) {
-  carryOut(active, active.query->failed(clock_(), why));
+  executeStep(active, active.query->onFailure(clock_(), why));
 }
 
 void Resolver::onTimeout(Active& active) {
@@ -173,15 +174,15 @@
   onFailed(active, "timeout");
 }
 
-// The whole lookup has its bound, whatever each step may still take.
-void Resolver::onTooLong(Active& active) {
+// The timeout of the complete lookup applies even if the current step has time left.
+void Resolver::onLookupTimeout(Active& active) {
   closeTransport(active, log::CloseReason::NoAnswer, "");
-  active.query->failed(clock_(), "lookup timeout");
-  onDone(active);
+  active.query->onFailure(clock_(), "lookup timeout");
+  onQueryDone(active);
 }
 
 void Resolver::closeTransport(Active& active, log::CloseReason reason, const std::string& detail) {
-  active.wait.cancel();
+  active.stepTimeout.cancel();
   active.udp.reset();
   if (!active.tcp) return;
   log_.ended("dns", settings_.servers[active.step.server].text(), reason,
@@ -189,24 +190,25 @@
   active.tcp.reset();
 }
 
-void Resolver::onDone(Active& active) {
+void Resolver::onQueryDone(Active& active) {
   const Answer& answer = active.query->result();
-  if (seen_) {
-    for (const Query::Taken& step : active.query->taken()) seen_(active.question, step);
+  if (onStep_) {
+    for (const Query::Taken& step : active.query->taken()) onStep_(active.question, step);
   }
   const Micros now = clock_();
   Result result;
   result.verdict = answer.verdict;
-  result.asOf = active.begun;
+  result.asOf = active.startedAt;
   switch (answer.verdict) {
     case Verdict::Chain:
-      // The chain leads to names that this answer says nothing of: they are asked for, up to the bound.
-      active.chain += static_cast<int>(answer.chain.size());
+      // The answer has no data for the end of the CNAME chain: send a query for that name, up to the chain
+      // limit.
+      active.chainLength += static_cast<int>(answer.chain.size());
       active.ttl = std::min(active.ttl, answer.ttl);
-      if (active.chain > settings_.chain) break;
+      if (active.chainLength > settings_.chain) break;
       active.question.name = answer.chain.back();
       active.query = std::make_unique<Query>(settings_, servers_);
-      return carryOut(active, active.query->begin(now));
+      return executeStep(active, active.query->begin(now));
     case Verdict::Answer:
       result.kind = Result::Kind::Data;
       result.complete = true;
@@ -218,8 +220,8 @@
       result.complete = true;
       break;
     case Verdict::Truncated:
-      // Half an answer serves who asked and is not kept in place of a whole one.
-      cache_.failed(active.asked, now);
+      // A truncated answer is returned to the callers, but does not replace a complete answer in the cache.
+      cache_.recordFailure(active.originalQuestion, now);
       if (!answer.records.empty()) {
         result.kind = Result::Kind::Data;
         result.records = answer.records;
@@ -228,50 +230,51 @@
         return finish(active, result);
       }
       ++counts_.failed;
-      return finish(active, failedResult(active.asked, answer.verdict));
+      return finish(active, failedResult(active.originalQuestion, answer.verdict));
     default:
       break;
   }
   if (!result.complete) {
     ++counts_.failed;
-    cache_.failed(active.asked, now);
-    return finish(active, failedResult(active.asked, answer.verdict));
+    cache_.recordFailure(active.originalQuestion, now);
+    return finish(active, failedResult(active.originalQuestion, answer.verdict));
   }
   ++counts_.answered;
-  const double chance = static_cast<double>(random_()) / 4294967296.0;
-  result = cache_.keep(active.asked, std::move(result), std::min(active.ttl, answer.ttl), now, chance);
+  const double jitter = static_cast<double>(random_()) / 4294967296.0;
+  result =
+      cache_.store(active.originalQuestion, std::move(result), std::min(active.ttl, answer.ttl), now, jitter);
   finish(active, result);
 }
 
-// Who is told may ask anew at once.
+// Removes the question before the callbacks run: a callback may resolve the same question again.
 void Resolver::finish(Active& active, const Result& result) {
   closeTransport(active, log::CloseReason::Discarded, "");
-  active.whole.cancel();
-  auto node = active_.extract(active.asked);
-  const std::vector<Told> waiting = std::move(active.waiting);
-  over_.push_back(std::move(node.mapped()));
-  cleaner_.schedule(0);
-  for (const Told& told : waiting) told(result);
+  active.lookupTimeout.cancel();
+  auto node = active_.extract(active.originalQuestion);
+  const std::vector<ResultCallback> callbacks = std::move(active.callbacks);
+  finished_.push_back(std::move(node.mapped()));
+  cleanupTimer_.schedule(0);
+  for (const ResultCallback& callback : callbacks) callback(result);
 }
 
-void Resolver::lookup(const std::string& name, ServiceTold told, bool all) {
+void Resolver::lookup(const std::string& name, ServiceCallback callback, bool refreshAll) {
   struct Call {
     SrvLookup lookup;
-    ServiceTold told;
+    ServiceCallback callback;
   };
-  const auto call = std::make_shared<Call>(Call{SrvLookup(name), std::move(told)});
-  const Question first = call->lookup.first();
+  const auto call = std::make_shared<Call>(Call{SrvLookup(name), std::move(callback)});
+  const Question srvQuestion = call->lookup.srvQuestion();
   resolve(
-      first,
-      [this, call, first, all](const Result& srv) {
-        const std::vector<Question> questions = call->lookup.got(first, srv);
-        if (call->lookup.done()) return call->told(call->lookup.service());
-        for (const Question& q : questions) {
-          const auto got = [call, q](const Result& address) {
-            call->lookup.got(q, address);
-            if (call->lookup.done()) call->told(call->lookup.service());
+      srvQuestion,
+      [this, call, srvQuestion, refreshAll](const Result& srv) {
+        const std::vector<Question> questions = call->lookup.onResult(srvQuestion, srv);
+        if (call->lookup.done()) return call->callback(call->lookup.service());
+        for (const Question& question : questions) {
+          const auto onAddress = [call, question](const Result& address) {
+            call->lookup.onResult(question, address);
+            if (call->lookup.done()) call->callback(call->lookup.service());
           };
-          resolve(q, got, all || cache_.find(q, clock_()).refresh);
+          resolve(question, onAddress, refreshAll || cache_.find(question, clock_()).refresh);
         }
       },
       true);
--- a/src/dns/servers.h
+++ b/src/dns/servers.h
@@ -1,4 +1,5 @@
-// Which name server is asked next, by what each did lately. Free of I/O and clock: times are told.
+// Selection of the name server for the next attempt, by the latency and the failures of each. Performs no I/O
+// and reads no clock.
 #pragma once
 
 #include <set>
@@ -8,30 +9,33 @@
 
 namespace peargrade::dns {
 
-// What the name servers did lately, by their number. Times in microseconds.
+/// Latency and failures of the name servers, by their index in the settings. Times in microseconds.
 class Servers {
  public:
   explicit Servers(std::size_t count) : servers_(count) {}
 
-  // The quickest of those that are not held back and not in `tried`; where all are, the one whose hold ends
-  // first; where all were tried, the same among all. Each is asked now and then, so that one which was slow
-  // once is not slow for ever.
-  std::size_t next(Micros now, const std::set<std::size_t>& tried);
-  void answered(std::size_t server, Micros took);
-  // Did not answer, or not usefully. Held back for 1 s, doubled each time it goes on, 30 s at most.
-  void failed(std::size_t server, Micros now);
-
-  struct Standing {
-    Micros usual = 0;  // smoothed time of an answer; 0: never answered
-    int failures = 0;  // in a row
-    Micros heldUntil = 0;
+  /// Selects the server with the lowest smoothed latency that is not in backoff and not in `tried`. If all
+  /// untried servers are in backoff, selects the one whose backoff ends first. If all servers are in `tried`,
+  /// selects among all of them. The latency of the servers not selected decays, so that a slow server is
+  /// probed again from time to time.
+  std::size_t select(Micros now, const std::set<std::size_t>& tried);
+  void recordAnswer(std::size_t server, Micros latency);
+  /// Records a missing or unusable answer. The backoff is 1 s at first and doubles with each failure,
+  /// up to 30 s.
+  void recordFailure(std::size_t server, Micros now);
+
+  struct ServerStats {
+    Micros smoothedLatency = 0;  // 0: never answered
+    int failures = 0;            // in a row
+    Micros backoffUntil = 0;
   };
-  const std::vector<Standing>& standings() const { return servers_; }
+  const std::vector<ServerStats>& stats() const { return servers_; }
 
  private:
-  static constexpr Micros kHoldFirst = 1000000, kHoldMost = 30000000;
+  static constexpr Micros kInitialBackoff = 1000000;
+  static constexpr Micros kMaxBackoff = 30000000;
 
-  std::vector<Standing> servers_;
+  std::vector<ServerStats> servers_;
 };
 
 }  // namespace peargrade::dns
--- a/src/dns/srv.cpp
+++ b/src/dns/srv.cpp
@@ -4,26 +4,26 @@
 
 namespace peargrade::dns {
 
-std::vector<Question> SrvLookup::got(const Question& question, const Result& result) {
+std::vector<Question> SrvLookup::onResult(const Question& question, const Result& result) {
   std::vector<Question> next;
-  if (question == first()) {
-    begun_ = true;
+  if (question == srvQuestion()) {
+    hasSrvResult_ = true;
     srv_ = result;
-    // A stale list says nothing new of who is there.
+    // A stale list is not used: service() reports the lookup as failed.
     if (result.kind != Result::Kind::Data || result.stale) return next;
-    for (const Record& r : result.records) {
-      // A target of "." says that there is no such service (RFC 2782).
-      if (r.value.empty() || !isName(r.value) || addresses_.count(r.value) != 0) continue;
-      addresses_[r.value];
-      for (const Type type : {Type::A, Type::AAAA}) next.push_back({r.value, type});
+    for (const Record& record : result.records) {
+      // A target of "." means that the service is not available (RFC 2782).
+      if (record.value.empty() || !isName(record.value) || addresses_.count(record.value) != 0) continue;
+      addresses_[record.value];
+      for (const Type type : {Type::A, Type::AAAA}) next.push_back({record.value, type});
     }
-    waiting_ = next.size();
+    pendingResults_ = next.size();
     return next;
   }
   const auto at = addresses_.find(question.name);
   if (at == addresses_.end() || at->second.count(question.type) != 0) return next;
   at->second[question.type] = result;
-  --waiting_;
+  --pendingResults_;
   return next;
 }
 
@@ -34,17 +34,17 @@
   service.until = srv_.until;
   if (srv_.kind == Result::Kind::Failed || srv_.stale) return service;
   service.kind = srv_.complete ? Service::Kind::Complete : Service::Kind::Partial;
-  for (const Record& r : srv_.records) {
-    const auto at = addresses_.find(r.value);
+  for (const Record& record : srv_.records) {
+    const auto at = addresses_.find(record.value);
     if (at == addresses_.end()) {
-      if (!r.value.empty()) service.kind = Service::Kind::Partial;  // a name that cannot be asked for
+      if (!record.value.empty()) service.kind = Service::Kind::Partial;  // the target name is invalid
       continue;
     }
     Target target;
-    target.name = r.value;
-    target.priority = r.priority;
-    target.weight = r.weight;
-    target.port = r.port;
+    target.name = record.value;
+    target.priority = record.priority;
+    target.weight = record.weight;
+    target.port = record.port;
     target.until = srv_.until;
     for (const auto& [type, result] : at->second) {
       target.sure = target.sure && result.kind != Result::Kind::Failed && result.complete && !result.stale;
--- a/tests/dns/resolver_test.cpp
+++ b/tests/dns/resolver_test.cpp
@@ -1,4 +1,4 @@
-// The resolver against scripted name servers on loopback, over UDP and TCP.
+// The resolver with fake name servers on loopback, over UDP and TCP.
 #include "dns/resolver.h"
 
 #include <fcntl.h>
@@ -18,7 +18,7 @@
 constexpr Micros kSecond = 1000000;
 constexpr char kName[] = "_o._tcp.example.org";
 
-struct Resolving : testing::Test {
+struct ResolverTest : testing::Test {
   Loop loop;
   ReadLog log;
   fakes::NameServer one{loop.base.get()}, two{loop.base.get()};
@@ -27,8 +27,8 @@
   std::mt19937 random{5};
   std::unique_ptr<Resolver> resolver;
 
-  Resolving() {
-    settings.tryFor = 60000;  // a silent server is left soon; the rest of a try is loopback
+  ResolverTest() {
+    settings.tryFor = 60000;  // the fake servers answer at once; limits the time of tests with a silent one
     settings.tryMost = 100000;
     settings.tcpFor = 150000;
     for (auto* server : {&one, &two}) {
@@ -46,35 +46,35 @@
         loop.base.get(), settings, [this] { return now; },
         [this] { return static_cast<std::uint32_t>(random()); }, *log.log);
   }
-  Result ask(const Question& q, bool fresh = false) {
-    Result got;
-    bool told = false;
+  Result resolve(const Question& q, bool bypassCache = false) {
+    Result result;
+    bool done = false;
     resolver->resolve(
         q,
         [&](const Result& r) {
-          got = r;
-          told = true;
+          result = r;
+          done = true;
         },
-        fresh);
-    EXPECT_TRUE(loop.until([&] { return told; })) << q.text();
-    return got;
+        bypassCache);
+    EXPECT_TRUE(loop.until([&] { return done; })) << q.text();
+    return result;
   }
-  Service service(bool fresh = false) {
-    Service got;
-    bool told = false;
+  Service service(bool bypassCache = false) {
+    Service result;
+    bool done = false;
     resolver->lookup(
         kName,
         [&](const Service& s) {
-          got = s;
-          told = true;
+          result = s;
+          done = true;
         },
-        fresh);
-    EXPECT_TRUE(loop.until([&] { return told; }));
-    return got;
+        bypassCache);
+    EXPECT_TRUE(loop.until([&] { return done; }));
+    return result;
   }
 };
 
-TEST_F(Resolving, AServiceWithItsAddresses) {
+TEST_F(ResolverTest, ServiceLookupReturnsTargetsAndAddresses) {
   start();
   const Service s = service();
   EXPECT_EQ(s.kind, Service::Kind::Complete);
@@ -84,10 +84,10 @@
   EXPECT_EQ(s.until, now + 60 * kSecond);
 }
 
-TEST_F(Resolving, IdsAndPortsAreDrawnAnewForEachQuery) {
+TEST_F(ResolverTest, EachQueryUsesARandomIdAndPort) {
   start(false);
   std::set<int> ids, ports;
-  for (int k = 0; k < 40; ++k) ask({"bello-0.example.org", Type::A}, true);
+  for (int k = 0; k < 40; ++k) resolve({"bello-0.example.org", Type::A}, true);
   for (const auto& seen : one.seen) {
     ids.insert(seen.id);
     ports.insert(seen.port);
@@ -96,40 +96,40 @@
   EXPECT_GT(ports.size(), 35u);
 }
 
-TEST_F(Resolving, OneQueryIsUnderWayForAQuestionAndTheCacheServesTheRest) {
+TEST_F(ResolverTest, ConcurrentCallsShareOneQueryAndLaterOnesUseTheCache) {
   start(false);
-  int told = 0;
+  int answers = 0;
   for (int k = 0; k < 10; ++k)
-    resolver->resolve({"bello-0.example.org", Type::A}, [&](const Result&) { ++told; });
-  ASSERT_TRUE(loop.until([&] { return told == 10; }));
+    resolver->resolve({"bello-0.example.org", Type::A}, [&](const Result&) { ++answers; });
+  ASSERT_TRUE(loop.until([&] { return answers == 10; }));
   EXPECT_EQ(one.asked("bello-0.example.org", 1), 1u);
-  ask({"bello-0.example.org", Type::A});
+  resolve({"bello-0.example.org", Type::A});
   EXPECT_EQ(one.asked("bello-0.example.org", 1), 1u);
   now += 61 * kSecond;
-  ask({"bello-0.example.org", Type::A});
-  EXPECT_EQ(one.asked("bello-0.example.org", 1), 2u) << "its lifetime is over";
+  resolve({"bello-0.example.org", Type::A});
+  EXPECT_EQ(one.asked("bello-0.example.org", 1), 2u) << "the result has expired";
 }
 
-TEST_F(Resolving, MoreQuestionsThanMayBeAskedAtATimeWaitTheirTurn) {
+TEST_F(ResolverTest, QuestionsAboveTheConcurrencyLimitAreQueued) {
   settings.inFlight = 4;
   for (int k = 0; k < 50; ++k) one.a("h" + std::to_string(k) + ".example.org", "10.2.0.1");
   start(false);
-  int told = 0;
-  std::size_t most = 0;
+  int answers = 0;
+  std::size_t maxUnderWay = 0;
   for (int k = 0; k < 50; ++k)
     resolver->resolve({"h" + std::to_string(k) + ".example.org", Type::A}, [&](const Result& r) {
-      told += r.kind == Result::Kind::Data;
-      most = std::max(most, resolver->underWay());
+      answers += r.kind == Result::Kind::Data;
+      maxUnderWay = std::max(maxUnderWay, resolver->underWay());
     });
   EXPECT_EQ(resolver->underWay(), 4u);
-  ASSERT_TRUE(loop.until([&] { return told == 50; }));
-  EXPECT_LE(most, 4u);
+  ASSERT_TRUE(loop.until([&] { return answers == 50; }));
+  EXPECT_LE(maxUnderWay, 4u);
 }
 
-TEST_F(Resolving, ALongAnswerComesOverTcp) {
+TEST_F(ResolverTest, LongAnswerIsFetchedOverTcp) {
   for (int k = 4; k < 60; ++k) one.srv(kName, "bello-" + std::to_string(k) + ".example.org", 3000);
   start(false);
-  const Result r = ask({kName, Type::SRV});
+  const Result r = resolve({kName, Type::SRV});
   EXPECT_EQ(r.kind, Result::Kind::Data);
   EXPECT_TRUE(r.complete);
   EXPECT_EQ(r.records.size(), 60u);
@@ -139,88 +139,88 @@
   EXPECT_TRUE(log.has("connection " + one.address().text() + " ended code=discarded"));
 }
 
-// The hard case: half the pool, and no way to the rest.
-TEST_F(Resolving, ATruncatedAnswerWithoutTcpIsHalfAnAnswerAndSaysSo) {
+// A part of the records arrives over UDP and TCP fails: the result must not be reported as complete.
+TEST_F(ResolverTest, TruncatedAnswerWithoutTcpIsIncomplete) {
   start();
   for (auto* server : {&one, &two}) {
     server->fail(Fault::Truncated, Over::Udp);
     server->fail(Fault::Reset, Over::Tcp);
   }
-  const Result r = ask({kName, Type::SRV});
+  const Result r = resolve({kName, Type::SRV});
   EXPECT_EQ(r.kind, Result::Kind::Data);
   EXPECT_FALSE(r.complete);
   EXPECT_EQ(r.records.size(), 2u);
   EXPECT_EQ(resolver->cache().refreshAt({kName, Type::SRV}), now + settings.failureHold)
-      << "asked again soon";
+      << "retried after the initial backoff";
 }
 
-TEST_F(Resolving, ChainsAcrossAnswersAreFollowedToTheirBound) {
+TEST_F(ResolverTest, CnameChainsAcrossAnswersAreFollowedUpToTheLimit) {
   one.cname("alias.example.org", "end.example.net", 7);
   one.names["end.example.net"] = {{1, "10.3.0.1", 0, 0, 0, 60}};
   start(false);
-  const Result r = ask({"alias.example.org", Type::A});
+  const Result r = resolve({"alias.example.org", Type::A});
   ASSERT_EQ(r.records.size(), 1u);
-  EXPECT_EQ(r.until, now + 7 * kSecond) << "the least of the chain";
+  EXPECT_EQ(r.until, now + 7 * kSecond) << "the minimum TTL of the chain";
   EXPECT_EQ(one.asked("end.example.net", 1), 1u);
   for (int k = 0; k < 12; ++k)
     one.cname("c" + std::to_string(k) + ".example.net", "c" + std::to_string(k + 1) + ".example.net");
-  EXPECT_EQ(ask({"c0.example.net", Type::A}).kind, Result::Kind::Failed);
+  EXPECT_EQ(resolve({"c0.example.net", Type::A}).kind, Result::Kind::Failed);
 }
 
-TEST_F(Resolving, NegativeAnswersAreKeptAsLongAsTheirSoaSays) {
+TEST_F(ResolverTest, NegativeAnswersAreCachedForTheTtlOfTheSoa) {
   start(false);
-  EXPECT_EQ(ask({"none.example.org", Type::A}).kind, Result::Kind::None);
-  EXPECT_EQ(ask({"bello-0.example.org", Type::AAAA}).kind, Result::Kind::None);
+  EXPECT_EQ(resolve({"none.example.org", Type::A}).kind, Result::Kind::None);
+  EXPECT_EQ(resolve({"bello-0.example.org", Type::AAAA}).kind, Result::Kind::None);
   now += 4 * kSecond;
-  ask({"none.example.org", Type::A});
+  resolve({"none.example.org", Type::A});
   EXPECT_EQ(one.asked("none.example.org", 1), 1u);
   now += 2 * kSecond;
-  ask({"none.example.org", Type::A});
+  resolve({"none.example.org", Type::A});
   EXPECT_EQ(one.asked("none.example.org", 1), 2u);
 }
 
-TEST_F(Resolving, StaleAnswersServeWithinTheirBoundWhileNobodyAnswers) {
+TEST_F(ResolverTest, StaleAnswersAreServedWithinTheirLimitWhileAllServersFail) {
   settings.staleFor = 100 * kSecond;
   start();
-  ask({"bello-0.example.org", Type::A});
+  resolve({"bello-0.example.org", Type::A});
   one.fail(Fault::ServFail);
   two.fail(Fault::Refused);
   now += 70 * kSecond;
-  const Result stale = ask({"bello-0.example.org", Type::A});
+  const Result stale = resolve({"bello-0.example.org", Type::A});
   EXPECT_TRUE(stale.stale);
   EXPECT_EQ(stale.records.at(0).value, "10.1.0.0");
-  const std::size_t asked = one.seen.size() + two.seen.size();
-  ask({"bello-0.example.org", Type::A});
-  EXPECT_EQ(one.seen.size() + two.seen.size(), asked) << "a question that failed rests";
+  const std::size_t queries = one.seen.size() + two.seen.size();
+  resolve({"bello-0.example.org", Type::A});
+  EXPECT_EQ(one.seen.size() + two.seen.size(), queries) << "the failed question is in backoff";
   now += 100 * kSecond;
-  EXPECT_EQ(ask({"bello-0.example.org", Type::A}).kind, Result::Kind::Failed);
+  EXPECT_EQ(resolve({"bello-0.example.org", Type::A}).kind, Result::Kind::Failed);
   one.heal();
   now += 40 * kSecond;
-  EXPECT_EQ(ask({"bello-0.example.org", Type::A}).kind, Result::Kind::Data);
+  EXPECT_EQ(resolve({"bello-0.example.org", Type::A}).kind, Result::Kind::Data);
 }
 
-TEST_F(Resolving, ADeadServerCostsOneWaitAndIsThenLeft) {
+TEST_F(ResolverTest, SilentServerCostsOneTimeoutAndIsThenInBackoff) {
   one.fail(Fault::Silent);
   start();
-  EXPECT_EQ(ask({"bello-0.example.org", Type::A}).kind, Result::Kind::Data);
+  EXPECT_EQ(resolve({"bello-0.example.org", Type::A}).kind, Result::Kind::Data);
   const std::size_t before = one.seen.size();
   EXPECT_EQ(before, 1u);
-  ask({"bello-1.example.org", Type::A});
-  EXPECT_EQ(one.seen.size(), before) << "held back";
+  resolve({"bello-1.example.org", Type::A});
+  EXPECT_EQ(one.seen.size(), before) << "in backoff";
   one.refuse(true);
   now += 5 * kSecond;
-  ask({"bello-2.example.org", Type::A});
-  EXPECT_EQ(ask({"bello-3.example.org", Type::A}).kind, Result::Kind::Data);
+  resolve({"bello-2.example.org", Type::A});
+  EXPECT_EQ(resolve({"bello-3.example.org", Type::A}).kind, Result::Kind::Data);
 }
 
-TEST_F(Resolving, NothingThatWasNotAskedForIsKept) {
+TEST_F(ResolverTest, UnrequestedRecordsAreNotCached) {
   one.fail(Fault::Poison);
   start(false);
   const Service s = service();
   ASSERT_EQ(s.targets.size(), 4u);
   for (const Target& t : s.targets) {
     ASSERT_EQ(t.addresses.size(), 1u);
-    EXPECT_EQ(t.addresses[0].substr(0, 7), "10.1.0.") << "the false address came unasked";
+    EXPECT_EQ(t.addresses[0].substr(0, 7), "10.1.0.") << "the forged address record was not requested";
   }
 }
 
@@ -229,20 +229,20 @@
   Fault fault;
   Over over;
 };
-// Each fault of the first server costs itself: the second one answers.
-struct EachFault : Resolving, testing::WithParamInterface<Case> {};
-TEST_P(EachFault, CostsItselfAlone) {
+// With any fault of the first server, the second one answers.
+struct ServerFault : ResolverTest, testing::WithParamInterface<Case> {};
+TEST_P(ServerFault, IsCompensatedByTheOtherServer) {
   one.fail(GetParam().fault, GetParam().over);
   if (GetParam().over == Over::Tcp) one.fail(Fault::Truncated, Over::Udp);
   start();
-  const Result r = ask({kName, Type::SRV});
+  const Result r = resolve({kName, Type::SRV});
   EXPECT_EQ(r.kind, Result::Kind::Data);
   EXPECT_TRUE(r.complete);
   EXPECT_EQ(r.records.size(), 4u);
   EXPECT_FALSE(one.seen.empty());
 }
 INSTANTIATE_TEST_SUITE_P(
-    All, EachFault,
+    All, ServerFault,
     testing::Values(
         Case{"Silent", Fault::Silent, Over::Both}, Case{"TruncatedBare", Fault::TruncatedBare, Over::Udp},
         Case{"ServFail", Fault::ServFail, Over::Both}, Case{"Refused", Fault::Refused, Over::Both},
@@ -260,8 +260,8 @@
         Case{"TcpMalformed", Fault::Malformed, Over::Tcp}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// All servers fail: every question ends, and within the bound of a lookup.
-TEST_F(Resolving, EveryQuestionEndsWhateverTheServersDo) {
+// If all servers fail, each question still gets a result within the lookup timeout.
+TEST_F(ResolverTest, EachQuestionGetsAResultIfAllServersFail) {
   for (const Case& c : {Case{"", Fault::Silent, Over::Both}, Case{"", Fault::WrongId, Over::Both},
                         Case{"", Fault::Malformed, Over::Both}, Case{"", Fault::Loop, Over::Both}}) {
     one.heal();
@@ -269,12 +269,12 @@
     one.fail(c.fault);
     two.fail(c.fault);
     start();
-    EXPECT_EQ(ask({kName, Type::SRV}).kind, Result::Kind::Failed);
+    EXPECT_EQ(resolve({kName, Type::SRV}).kind, Result::Kind::Failed);
     EXPECT_EQ(resolver->underWay(), 0u);
   }
 }
 
-TEST_F(Resolving, NoSocketIsLeftOpen) {
+TEST_F(ResolverTest, AllSocketsAreClosed) {
   const auto open = [] {
     int count = 0;
     for (int fd = 0; fd < 256; ++fd) count += fcntl(fd, F_GETFD) >= 0;
