--- a/src/files/files.cpp
+++ b/src/files/files.cpp
@@ -12,94 +12,101 @@
 namespace peargrade::files {
 namespace {
 
-constexpr char kLock[] = "lock";
+constexpr char kLockFile[] = "lock";
 
-class Fd {
+/// Owns a file descriptor.
+class FileDescriptor {
  public:
-  explicit Fd(int fd) : fd_(fd) {}
-  ~Fd() {
+  explicit FileDescriptor(int fd) : fd_(fd) {}
+  ~FileDescriptor() {
     if (fd_ >= 0) close(fd_);
   }
-  Fd(const Fd&) = delete;
-  Fd& operator=(const Fd&) = delete;
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
   int get() const { return fd_; }
 
  private:
   int fd_;
 };
 
-Outcome failed(const std::string& what) {
+/// The failure that `errno` describes, of the operation `what`.
+Outcome systemError(const std::string& what) {
   return {false, errno == ENOENT, what + ": " + std::strerror(errno)};
 }
 
 class Folder : public Files {
  public:
-  Folder(int fd, int lock) : folder_(fd), lock_(lock) {}
+  Folder(int fd, int lockFd) : folder_(fd), lock_(lockFd) {}
 
   Outcome read(const std::string& name, std::string& bytes) override {
-    const Fd fd(openat(folder_.get(), name.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
-    if (fd.get() < 0) return failed("open " + name);
+    const FileDescriptor fd(openat(folder_.get(), name.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
+    if (fd.get() < 0) return systemError("cannot open " + name);
     bytes.clear();
-    char piece[65536];
+    char buffer[65536];
     for (;;) {
-      const ssize_t got = ::read(fd.get(), piece, sizeof piece);
-      if (got < 0 && errno == EINTR) continue;
-      if (got < 0) return failed("read " + name);
-      if (got == 0) return {};
-      bytes.append(piece, static_cast<std::size_t>(got));
+      const ssize_t bytesRead = ::read(fd.get(), buffer, sizeof buffer);
+      if (bytesRead < 0 && errno == EINTR) continue;
+      if (bytesRead < 0) return systemError("cannot read " + name);
+      if (bytesRead == 0) return {};
+      bytes.append(buffer, static_cast<std::size_t>(bytesRead));
     }
   }
   Outcome write(const std::string& name, const std::string& bytes) override {
-    return put(name, bytes, O_TRUNC);
+    return writeAll(name, bytes, O_TRUNC);
   }
   Outcome append(const std::string& name, const std::string& bytes) override {
-    return put(name, bytes, O_APPEND);
+    return writeAll(name, bytes, O_APPEND);
   }
   Outcome truncate(const std::string& name, std::size_t size) override {
-    const Fd fd(openat(folder_.get(), name.c_str(), O_WRONLY | O_CLOEXEC | O_NOFOLLOW));
-    if (fd.get() < 0) return failed("open " + name);
-    return ftruncate(fd.get(), static_cast<off_t>(size)) == 0 ? Outcome{} : failed("truncate " + name);
+    const FileDescriptor fd(openat(folder_.get(), name.c_str(), O_WRONLY | O_CLOEXEC | O_NOFOLLOW));
+    if (fd.get() < 0) return systemError("cannot open " + name);
+    return ftruncate(fd.get(), static_cast<off_t>(size)) == 0 ? Outcome{}
+                                                              : systemError("cannot truncate " + name);
   }
   Outcome sync(const std::string& name) override {
-    const Fd fd(openat(folder_.get(), name.c_str(), O_WRONLY | O_CLOEXEC | O_NOFOLLOW));
-    if (fd.get() < 0) return failed("open " + name);
-    return fdatasync(fd.get()) == 0 ? Outcome{} : failed("sync " + name);
+    const FileDescriptor fd(openat(folder_.get(), name.c_str(), O_WRONLY | O_CLOEXEC | O_NOFOLLOW));
+    if (fd.get() < 0) return systemError("cannot open " + name);
+    return fdatasync(fd.get()) == 0 ? Outcome{} : systemError("cannot sync " + name);
   }
   Outcome rename(const std::string& from, const std::string& to) override {
     const bool done = renameat(folder_.get(), from.c_str(), folder_.get(), to.c_str()) == 0;
-    return done ? Outcome{} : failed("rename " + from);
+    return done ? Outcome{} : systemError("cannot rename " + from);
   }
   Outcome remove(const std::string& name) override {
-    return unlinkat(folder_.get(), name.c_str(), 0) == 0 ? Outcome{} : failed("remove " + name);
+    return unlinkat(folder_.get(), name.c_str(), 0) == 0 ? Outcome{} : systemError("cannot remove " + name);
+  }
+  Outcome syncFolder() override {
+    return fsync(folder_.get()) == 0 ? Outcome{} : systemError("cannot sync the folder");
   }
-  Outcome syncFolder() override { return fsync(folder_.get()) == 0 ? Outcome{} : failed("sync the folder"); }
   Outcome list(std::vector<std::string>& names) override {
     names.clear();
     const int copy = openat(folder_.get(), ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     DIR* dir = copy < 0 ? nullptr : fdopendir(copy);
-    if (dir == nullptr) return failed("list the folder");
+    if (dir == nullptr) return systemError("cannot list the folder");
     while (const dirent* entry = readdir(dir)) {
       const std::string name = entry->d_name;
-      if (name != "." && name != ".." && name != kLock) names.push_back(name);
+      if (name != "." && name != ".." && name != kLockFile) names.push_back(name);
     }
     closedir(dir);
     return {};
   }
 
  private:
-  Outcome put(const std::string& name, const std::string& bytes, int how) {
-    const Fd fd(openat(folder_.get(), name.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC | O_NOFOLLOW | how, 0600));
-    if (fd.get() < 0) return failed("open " + name);
+  Outcome writeAll(const std::string& name, const std::string& bytes, int flags) {
+    const FileDescriptor fd(
+        openat(folder_.get(), name.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC | O_NOFOLLOW | flags, 0600));
+    if (fd.get() < 0) return systemError("cannot open " + name);
     for (std::size_t done = 0; done < bytes.size();) {
-      const ssize_t wrote = ::write(fd.get(), bytes.data() + done, bytes.size() - done);
-      if (wrote < 0 && errno == EINTR) continue;
-      if (wrote <= 0) return failed("write " + name);
-      done += static_cast<std::size_t>(wrote);
+      const ssize_t bytesWritten = ::write(fd.get(), bytes.data() + done, bytes.size() - done);
+      if (bytesWritten < 0 && errno == EINTR) continue;
+      if (bytesWritten <= 0) return systemError("cannot write " + name);
+      done += static_cast<std::size_t>(bytesWritten);
     }
     return {};
   }
 
-  const Fd folder_, lock_;
+  const FileDescriptor folder_;
+  const FileDescriptor lock_;  // -1 if the folder is not locked
 };
 
 }  // namespace
@@ -107,31 +114,31 @@
 std::unique_ptr<Files> openFolder(const std::string& path, bool lock, Outcome& outcome) {
   const int fd = open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (fd < 0) {
-    outcome = failed("open folder " + path);
+    outcome = systemError("cannot open folder " + path);
     return nullptr;
   }
-  struct stat about {};
-  if (fstat(fd, &about) != 0 || about.st_uid != geteuid() || (about.st_mode & (S_IWGRP | S_IWOTH)) != 0) {
+  struct stat status {};
+  if (fstat(fd, &status) != 0 || status.st_uid != geteuid() || (status.st_mode & (S_IWGRP | S_IWOTH)) != 0) {
     close(fd);
     outcome = {false, false,
-               "folder " + path + ": must belong to this user and be closed to others for writing"};
+               "folder " + path + ": must be owned by this user and not be writable by group or others"};
     return nullptr;
   }
-  int held = -1;
+  int lockFd = -1;
   if (lock) {
-    held = openat(fd, kLock, O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, 0600);
-    // The kernel lets go of it with the process, however that ends.
-    if (held < 0 || flock(held, LOCK_EX | LOCK_NB) != 0) {
-      const bool other = held >= 0 && errno == EWOULDBLOCK;
-      outcome = other ? Outcome{false, false, "folder " + path + ": another process works on it"}
-                      : failed("lock folder " + path);
-      if (held >= 0) close(held);
+    lockFd = openat(fd, kLockFile, O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, 0600);
+    // The kernel releases the lock when the process ends, also after SIGKILL.
+    if (lockFd < 0 || flock(lockFd, LOCK_EX | LOCK_NB) != 0) {
+      const bool lockedElsewhere = lockFd >= 0 && errno == EWOULDBLOCK;
+      outcome = lockedElsewhere ? Outcome{false, false, "folder " + path + ": another process holds its lock"}
+                                : systemError("cannot lock folder " + path);
+      if (lockFd >= 0) close(lockFd);
       close(fd);
       return nullptr;
     }
   }
   outcome = {};
-  return std::make_unique<Folder>(fd, held);
+  return std::make_unique<Folder>(fd, lockFd);
 }
 
 }  // namespace peargrade::files
--- a/src/files/files.h
+++ b/src/files/files.h
@@ -1,6 +1,6 @@
-// All file work of what is stored, behind one small interface: files of one folder by name. The real one is
-// below; tests have one that fails as they say (fakes/faulty_files.h). Nothing here decides what is
-// written.
+// File access for stored state: an interface for the files of one folder, addressed by name. openFolder()
+// returns the implementation on the file system; tests use one that injects faults (fakes/faulty_files.h).
+// This layer does not interpret the contents.
 #pragma once
 
 #include <memory>
@@ -9,34 +9,37 @@
 
 namespace peargrade::files {
 
-// Whether work on a file was done; why not, for the log.
+/// Result of a file operation.
 struct Outcome {
   bool ok = true;
-  bool missing = false;  // there is no such file
-  std::string why;
+  bool missing = false;  // the operation failed because the file does not exist
+  std::string why;       // the error, as text for the log; empty if `ok`
   explicit operator bool() const { return ok; }
 };
 
-// Files of one folder, by names without a path; every call says in its Outcome whether it was done.
+/// The files of one folder. Names have no path. Every operation reports success or failure in its Outcome.
 class Files {
  public:
   virtual ~Files() = default;
-  virtual Outcome read(const std::string& name, std::string& bytes) = 0;  // the whole file
-  // Made new or emptied first. Like append, it may have written a part where it fails, and nothing of it is
-  // sure to last before sync().
+  /// Reads the complete file.
+  virtual Outcome read(const std::string& name, std::string& bytes) = 0;
+  /// Creates or truncates the file, then writes `bytes`. A failed write() or append() may have written a part
+  /// of the bytes. Neither is durable before sync().
   virtual Outcome write(const std::string& name, const std::string& bytes) = 0;
   virtual Outcome append(const std::string& name, const std::string& bytes) = 0;
   virtual Outcome truncate(const std::string& name, std::size_t size) = 0;
   virtual Outcome sync(const std::string& name) = 0;
-  virtual Outcome rename(const std::string& from, const std::string& to) = 0;  // replaces `to` in one step
+  /// Replaces `to` atomically.
+  virtual Outcome rename(const std::string& from, const std::string& to) = 0;
   virtual Outcome remove(const std::string& name) = 0;
-  // Names made, renamed or removed before are sure to last after it.
+  /// Makes earlier creations, renames and removals of files durable.
   virtual Outcome syncFolder() = 0;
   virtual Outcome list(std::vector<std::string>& names) = 0;
 };
 
-// The folder has to be there, belong to this user and be closed to others for writing. `lock`: no second
-// process works on it as long as this lives; a killed process leaves no lock behind.
+/// Opens an existing folder, which must be owned by the effective user and not writable by group or others.
+/// Returns null on failure, with the error in `outcome`. With `lock`, the folder is locked against other
+/// processes for the lifetime of the returned object; the kernel releases the lock when the process ends.
 std::unique_ptr<Files> openFolder(const std::string& path, bool lock, Outcome& outcome);
 
 }  // namespace peargrade::files
--- a/src/files/journal.cpp
+++ b/src/files/journal.cpp
@@ -5,48 +5,52 @@
 namespace peargrade::files {
 namespace {
 
-constexpr std::size_t kHead = 12;  // length, checksum
+constexpr std::size_t kRecordHeaderBytes = 12;  // length (4), checksum (8); little-endian
 
-void put(std::string& bytes, std::uint64_t value, int size) {
+/// Appends `value` as `size` bytes, little-endian.
+void appendInteger(std::string& bytes, std::uint64_t value, int size) {
   for (int k = 0; k < size; ++k) bytes += static_cast<char>(value >> (8 * k) & 255);
 }
-std::uint64_t get(const std::string& bytes, std::size_t at, int size) {
+std::uint64_t readInteger(const std::string& bytes, std::size_t offset, int size) {
   std::uint64_t value = 0;
   for (int k = size - 1; k >= 0; --k)
-    value = value << 8 | static_cast<unsigned char>(bytes[at + static_cast<std::size_t>(k)]);
+    value = value << 8 | static_cast<unsigned char>(bytes[offset + static_cast<std::size_t>(k)]);
   return value;
 }
 
+/// Covers the payload and, through the seed, the file number, the offset and the length.
 std::uint64_t checksum(const char* payload, std::size_t size, std::uint64_t file, std::size_t offset) {
-  std::string place;
-  put(place, file, 8);
-  put(place, offset, 8);
-  put(place, size, 8);
-  return XXH64(payload, size, XXH64(place.data(), place.size(), 0));
+  std::string position;
+  appendInteger(position, file, 8);
+  appendInteger(position, offset, 8);
+  appendInteger(position, size, 8);
+  return XXH64(payload, size, XXH64(position.data(), position.size(), 0));
 }
 
 }  // namespace
 
-std::string framed(const std::string& payload, std::uint64_t file, std::size_t offset) {
+std::string encodeRecord(const std::string& payload, std::uint64_t file, std::size_t offset) {
   std::string bytes;
-  bytes.reserve(kHead + payload.size());
-  put(bytes, payload.size(), 4);
-  put(bytes, checksum(payload.data(), payload.size(), file, offset), 8);
+  bytes.reserve(kRecordHeaderBytes + payload.size());
+  appendInteger(bytes, payload.size(), 4);
+  appendInteger(bytes, checksum(payload.data(), payload.size(), file, offset), 8);
   return bytes + payload;
 }
 
-Recovered recover(const std::string& bytes, std::uint64_t file, std::size_t from) {
-  Recovered r;
-  r.whole = from;
-  while (bytes.size() >= r.whole + kHead) {
-    const std::size_t size = get(bytes, r.whole, 4);
-    if (size > kRecordMost || bytes.size() - r.whole - kHead < size) break;
-    if (get(bytes, r.whole + 4, 8) != checksum(bytes.data() + r.whole + kHead, size, file, r.whole)) break;
-    r.payloads.push_back(bytes.substr(r.whole + kHead, size));
-    r.whole += kHead + size;
+DecodedRecords decodeRecords(const std::string& bytes, std::uint64_t file, std::size_t from) {
+  DecodedRecords records;
+  records.validBytes = from;
+  while (bytes.size() >= records.validBytes + kRecordHeaderBytes) {
+    const std::size_t size = readInteger(bytes, records.validBytes, 4);
+    if (size > kMaxRecordBytes || bytes.size() - records.validBytes - kRecordHeaderBytes < size) break;
+    if (readInteger(bytes, records.validBytes + 4, 8) !=
+        checksum(bytes.data() + records.validBytes + kRecordHeaderBytes, size, file, records.validBytes))
+      break;
+    records.payloads.push_back(bytes.substr(records.validBytes + kRecordHeaderBytes, size));
+    records.validBytes += kRecordHeaderBytes + size;
   }
-  r.dropped = bytes.size() > r.whole ? bytes.size() - r.whole : 0;
-  return r;
+  records.droppedBytes = bytes.size() > records.validBytes ? bytes.size() - records.validBytes : 0;
+  return records;
 }
 
 }  // namespace peargrade::files
--- a/src/files/journal.h
+++ b/src/files/journal.h
@@ -1,5 +1,6 @@
-// Records one after another in a file, each with its length and a checksum over it, its place and the file's
-// own number: what a crash left half written, or what an older file left behind, is seen. Free of I/O.
+// The record format of journals and snapshots. Each record carries its length and a checksum over its
+// payload, its offset and the number of its file, so that a partly written record or one left over from an
+// older file is detected. This module does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +9,19 @@
 
 namespace peargrade::files {
 
-inline constexpr std::size_t kRecordMost = std::size_t{16} << 20;
+inline constexpr std::size_t kMaxRecordBytes = std::size_t{16} << 20;
 
-// One record as it is appended at `offset` of file number `file`.
-std::string framed(const std::string& payload, std::uint64_t file, std::size_t offset);
+/// Encodes `payload` as the record at `offset` of the file with number `file`.
+std::string encodeRecord(const std::string& payload, std::uint64_t file, std::size_t offset);
 
-// What could be read of a file of frames.
-struct Recovered {
-  std::vector<std::string> payloads;  // of the longest whole prefix
-  std::size_t whole = 0;              // its length in bytes
-  std::size_t dropped = 0;            // bytes behind it
+/// The records of a file up to the first invalid one.
+struct DecodedRecords {
+  std::vector<std::string> payloads;
+  std::size_t validBytes = 0;    // length of the file header and the valid records
+  std::size_t droppedBytes = 0;  // bytes after them
 };
-// Reads frames up to the first that is not whole; `from`: bytes of the head before them.
-Recovered recover(const std::string& bytes, std::uint64_t file, std::size_t from);
+/// Decodes records up to the first that is incomplete or corrupt. The first record begins at offset `from`,
+/// after the file header.
+DecodedRecords decodeRecords(const std::string& bytes, std::uint64_t file, std::size_t from);
 
 }  // namespace peargrade::files
--- a/src/files/store.h
+++ b/src/files/store.h
@@ -1,7 +1,6 @@
-// A state that outlives the process: snapshots by generation and, behind the newest, a journal of changes.
-// What append() has answered with ok is there after any crash; what a crash left in the making is dropped and
-// told. The one store of the program; what the bytes mean is decided by who keeps them. Works on Files only:
-// no clock, no threads.
+// A crash-safe store: a snapshot for each generation and, for the newest, a journal of changes. A change that
+// append() has acknowledged survives any crash. Incomplete data left by a crash is dropped, and open()
+// reports it. The caller defines the meaning of the bytes. The store uses Files only: no clock, no threads.
 #pragma once
 
 #include <cstdint>
@@ -12,58 +11,59 @@
 
 namespace peargrade::files {
 
-// One store; every call says in its result whether it was done.
+/// One store in a folder. Call open() first, then compact() before the first append().
 class Store {
  public:
-  // `name` begins the names of its files; `version` stands in each and is told apart when read.
+  /// `name` is the prefix of its file names. `version` is the format version written to each file; files of a
+  /// newer version are not read. `files` must outlive the store.
   Store(Files& files, std::string name, std::uint32_t version);
 
-  enum class Found {
-    Nothing,  // no files: begin anew
-    Whole,    // everything that was ever answered
-    Newer,    // of a later version: not touched, and nothing is written
-    Damaged,  // files, but none that can be read: not touched, and nothing is written
-    Failed,   // the files could not be read now
+  enum class OpenStatus {
+    Empty,         // no files
+    Complete,      // every acknowledged change was read
+    NewerVersion,  // files of a newer format version; compact() and append() fail
+    Damaged,       // no snapshot is readable; compact() and append() fail
+    ReadFailed,    // an I/O error; a later open() may succeed
   };
   struct Contents {
-    Found found = Found::Nothing;
+    OpenStatus status = OpenStatus::Empty;
     std::uint32_t version = 0;
     std::string snapshot;
-    std::vector<std::string> changes;
-    std::vector<std::string> notes;  // what was dropped or passed over, for the log
+    std::vector<std::string> changes;  // made after the snapshot, in order
+    std::vector<std::string> notes;    // what was dropped or skipped, and errors, as texts for the log
   };
   Contents open();
 
-  // Writes a new generation that begins with `snapshot`; the old one goes once it is safe. Also the way on
-  // after a failed append.
+  /// Begins a new generation with `snapshot` and an empty journal. The old generation is removed once the new
+  /// one is durable. Required after a failed append().
   Outcome compact(const std::string& snapshot);
-  // Durable when it returns ok. After a failure nothing is taken until compact() has succeeded, as it is not
-  // known what the file holds.
+  /// Durable when it returns ok. After a failure the contents of the journal are unknown, so every append()
+  /// fails until compact() has succeeded.
   Outcome append(const std::string& change) { return append(std::vector<std::string>{change}); }
-  // Several with one sync; all of them or none are answered.
+  /// Appends several changes with one sync. The result holds for all of them.
   Outcome append(const std::vector<std::string>& changes);
 
   bool writable() const { return writable_; }
   std::uint64_t generation() const { return generation_; }
-  std::size_t journalBytes() const { return size_; }
-  std::size_t snapshotBytes() const { return snapshotSize_; }
+  std::size_t journalBytes() const { return journalBytes_; }
+  std::size_t snapshotBytes() const { return snapshotBytes_; }
 
  private:
-  std::string fileOf(std::uint64_t generation, const char* kind) const;
-  bool generationOf(const std::string& file, const char* kind, std::uint64_t& generation) const;
-  std::vector<std::uint64_t> generationsIn(const std::vector<std::string>& names) const;
+  std::string fileName(std::uint64_t generation, const char* kind) const;
+  bool parseFileName(const std::string& file, const char* kind, std::uint64_t& generation) const;
+  std::vector<std::uint64_t> findGenerations(const std::vector<std::string>& names) const;
   bool openGeneration(std::uint64_t generation, Contents& contents);
   void readJournal(std::uint64_t generation, std::uint32_t version, Contents& contents);
-  std::string head(std::uint64_t generation) const;
+  std::string encodeFileHeader(std::uint64_t generation) const;
 
   Files& files_;
   const std::string name_;
   const std::uint32_t version_;
   std::uint64_t generation_ = 0;
-  std::size_t size_ = 0;  // of the journal, all of it whole
-  std::size_t snapshotSize_ = 0;
+  std::size_t journalBytes_ = 0;  // valid length, file header included
+  std::size_t snapshotBytes_ = 0;
   bool writable_ = false;
-  bool foreign_ = false;  // files there are not ours to touch
+  bool mustNotWrite_ = false;  // the files are damaged or of a newer version: keep them unchanged
 };
 
 }  // namespace peargrade::files
--- a/src/zone_server/disk.cpp
+++ b/src/zone_server/disk.cpp
@@ -41,11 +41,11 @@
 }
 
 void readContents(const op::Zone& zone, const files::Store::Contents& contents, StoredZone& stored) {
-  using Found = files::Store::Found;
+  using OpenStatus = files::Store::OpenStatus;
   stored.notes = contents.notes;
-  stored.damaged =
-      contents.found == Found::Newer || contents.found == Found::Damaged || contents.found == Found::Failed;
-  if (contents.found != Found::Whole) return;
+  stored.damaged = contents.status == OpenStatus::NewerVersion || contents.status == OpenStatus::Damaged ||
+                   contents.status == OpenStatus::ReadFailed;
+  if (contents.status != OpenStatus::Complete) return;
   stored.snapshot = dns_zone::decodeSnapshot(contents.snapshot);
   if (!stored.snapshot || stored.snapshot->zone.origin() != zone.origin) {
     stored.errors.push_back(zone.state + ": holds another zone, or one that cannot be read");
--- a/tests/files/store_test.cpp
+++ b/tests/files/store_test.cpp
@@ -1,5 +1,5 @@
-// The store over files that fail: at every operation of a scripted run, in every way, what was answered is
-// there and nothing else than what was asked for.
+// The store with injected faults: after each kind of fault at each operation of a scripted run, every
+// acknowledged change is present, and no change that was never requested is.
 #include "files/store.h"
 
 #include <gtest/gtest.h>
@@ -22,91 +22,92 @@
 using Fault = FaultyFiles::Fault;
 using After = FaultyFiles::After;
 
-TEST(Journal, TheLongestWholePrefixIsRecovered) {
+TEST(Journal, DecodesRecordsUpToTheFirstIncompleteOne) {
   std::string bytes = "head";
-  for (const char* payload : {"one", "", "three"}) bytes += framed(payload, 7, bytes.size());
-  const Recovered all = recover(bytes, 7, 4);
+  for (const char* payload : {"one", "", "three"}) bytes += encodeRecord(payload, 7, bytes.size());
+  const DecodedRecords all = decodeRecords(bytes, 7, 4);
   EXPECT_EQ(all.payloads, (std::vector<std::string>{"one", "", "three"}));
-  EXPECT_EQ(all.dropped, 0u);
+  EXPECT_EQ(all.droppedBytes, 0u);
   for (std::size_t size = 4; size < bytes.size(); ++size) {
-    const Recovered r = recover(bytes.substr(0, size), 7, 4);
-    EXPECT_LT(r.payloads.size(), 3u);
-    EXPECT_EQ(r.whole + r.dropped, size);
+    const DecodedRecords records = decodeRecords(bytes.substr(0, size), 7, 4);
+    EXPECT_LT(records.payloads.size(), 3u);
+    EXPECT_EQ(records.validBytes + records.droppedBytes, size);
   }
-  EXPECT_TRUE(recover(bytes, 8, 4).payloads.empty()) << "of another file";
-  EXPECT_TRUE(recover(bytes.substr(4), 7, 0).payloads.empty()) << "of another place";
+  EXPECT_TRUE(decodeRecords(bytes, 8, 4).payloads.empty()) << "the file number differs";
+  EXPECT_TRUE(decodeRecords(bytes.substr(4), 7, 0).payloads.empty()) << "the offset differs";
 }
 
-TEST(Journal, EveryFlippedBitIsSeen) {
+TEST(Journal, DetectsEveryFlippedBit) {
   std::string bytes;
-  for (const char* payload : {"one", "two", "three"}) bytes += framed(payload, 1, bytes.size());
+  for (const char* payload : {"one", "two", "three"}) bytes += encodeRecord(payload, 1, bytes.size());
   for (std::size_t bit = 0; bit < 8 * bytes.size(); ++bit) {
-    std::string bad = bytes;
-    bad[bit / 8] = static_cast<char>(bad[bit / 8] ^ (1 << bit % 8));
-    const auto r = recover(bad, 1, 0);
-    ASSERT_LT(r.payloads.size(), 3u) << bit;
-    for (std::size_t k = 0; k < r.payloads.size(); ++k)
-      EXPECT_EQ(r.payloads[k], (std::vector<std::string>{"one", "two", "three"})[k]);
+    std::string corrupted = bytes;
+    corrupted[bit / 8] = static_cast<char>(corrupted[bit / 8] ^ (1 << bit % 8));
+    const auto records = decodeRecords(corrupted, 1, 0);
+    ASSERT_LT(records.payloads.size(), 3u) << bit;
+    for (std::size_t k = 0; k < records.payloads.size(); ++k)
+      EXPECT_EQ(records.payloads[k], (std::vector<std::string>{"one", "two", "three"})[k]);
   }
 }
 
-// The state is the sequence of numbers that were appended; a snapshot is the sequence so far.
-std::string joined(const std::vector<std::string>& all) {
+// The state is the sequence of appended changes, each followed by a space. A snapshot is the sequence so far.
+std::string joinChanges(const std::vector<std::string>& all) {
   std::string text;
   for (const std::string& s : all) text += s + " ";
   return text;
 }
 
-struct Played {
-  std::vector<std::string> tried, answered;  // in order
+struct RunRecord {
+  std::vector<std::string> requested;     // in order
+  std::vector<std::string> acknowledged;  // in order
 };
 
-std::string stateOf(const Store::Contents& c) { return c.snapshot + joined(c.changes); }
+std::string formatState(const Store::Contents& c) { return c.snapshot + joinChanges(c.changes); }
 
-// Opens, appends, compacts, appends; a failed append is followed by a compaction of what was answered.
-Played scripted(FaultyFiles& files, std::string& state) {
-  Played run;
+// Opens, compacts, appends and compacts again. After a failed append it compacts the acknowledged changes.
+RunRecord runScript(FaultyFiles& files, std::string& state) {
+  RunRecord run;
   Store store(files, "zone", 1);
   const Store::Contents c = store.open();
-  state = stateOf(c);
-  std::string held = state;
-  if (c.found == Store::Found::Failed) return run;
-  store.compact(held);
+  state = formatState(c);
+  std::string acknowledgedState = state;
+  if (c.status == Store::OpenStatus::ReadFailed) return run;
+  store.compact(acknowledgedState);
   for (int k = 0; k < 9; ++k) {
     const std::string change = "c" + std::to_string(k);
-    run.tried.push_back(change);
+    run.requested.push_back(change);
     if (store.append(change)) {
-      run.answered.push_back(change);
-      held += change + " ";
+      run.acknowledged.push_back(change);
+      acknowledgedState += change + " ";
     } else if (!files.down()) {
-      store.compact(held);
+      store.compact(acknowledgedState);
     }
-    if (k % 3 == 2) store.compact(held);
+    if (k % 3 == 2) store.compact(acknowledgedState);
   }
   return run;
 }
 
-// What may stand after a crash: all that was answered, in order, and besides at most things that were tried.
-void expectSound(const std::string& state, const Played& run, const std::string& what) {
+// After a crash the state holds every acknowledged change, in order, and otherwise only requested changes.
+void expectConsistent(const std::string& state, const RunRecord& run, const std::string& what) {
   std::istringstream words(state);
-  std::vector<std::string> there;
-  for (std::string w; words >> w;) there.push_back(w);
-  std::size_t next = 0, tried = 0;
-  for (const std::string& w : there) {
-    while (tried < run.tried.size() && run.tried[tried] != w) ++tried;
-    ASSERT_LT(tried, run.tried.size())
-        << what << ": '" << w << "' was never tried, or twice, in '" << state << "'";
-    ++tried;
-    if (next < run.answered.size() && run.answered[next] == w) ++next;
+  std::vector<std::string> found;
+  for (std::string w; words >> w;) found.push_back(w);
+  std::size_t next = 0, requested = 0;
+  for (const std::string& w : found) {
+    while (requested < run.requested.size() && run.requested[requested] != w) ++requested;
+    ASSERT_LT(requested, run.requested.size())
+        << what << ": '" << w << "' was not requested, or is there twice, in '" << state << "'";
+    ++requested;
+    if (next < run.acknowledged.size() && run.acknowledged[next] == w) ++next;
   }
-  ASSERT_EQ(next, run.answered.size()) << what << ": an answered change is lost: '" << state << "'";
+  ASSERT_EQ(next, run.acknowledged.size()) << what << ": an acknowledged change is lost: '" << state << "'";
 }
 
-TEST(Store, EveryFaultAtEveryOperationKeepsWhatWasAnswered) {
+TEST(Store, KeepsAcknowledgedChangesAfterEveryFaultAtEveryOperation) {
   FaultyFiles good;
   std::string state;
-  const Played whole = scripted(good, state);
-  ASSERT_EQ(whole.answered.size(), 9u);
+  const RunRecord faultless = runScript(good, state);
+  ASSERT_EQ(faultless.acknowledged.size(), 9u);
   const std::uint64_t operations = good.operations();
   ASSERT_GT(operations, 50u);
   int cases = 0;
@@ -116,7 +117,7 @@
       for (const After after : {After::Lost, After::Kept, After::Torn, After::NamesLost, After::DataLost}) {
         FaultyFiles files;
         files.failAt(at, fault);
-        const Played run = scripted(files, state);
+        const RunRecord run = runScript(files, state);
         files.restart(after);
         files.failAt(UINT64_MAX, Fault::None);
         Store again(files, "zone", 1);
@@ -124,17 +125,17 @@
         const std::string what = "operation " + std::to_string(at) + " fault " +
                                  std::to_string(static_cast<int>(fault)) + " after " +
                                  std::to_string(static_cast<int>(after));
-        if (c.found == Store::Found::Nothing) {
-          EXPECT_TRUE(run.answered.empty()) << what;
+        if (c.status == Store::OpenStatus::Empty) {
+          EXPECT_TRUE(run.acknowledged.empty()) << what;
         } else {
-          ASSERT_EQ(c.found, Store::Found::Whole) << what;
-          expectSound(stateOf(c), run, what);
+          ASSERT_EQ(c.status, Store::OpenStatus::Complete) << what;
+          expectConsistent(formatState(c), run, what);
         }
-        // And the store goes on from there.
-        ASSERT_TRUE(again.compact(stateOf(c))) << what;
+        // The store remains usable after the recovery.
+        ASSERT_TRUE(again.compact(formatState(c))) << what;
         ASSERT_TRUE(again.append("on")) << what;
         Store third(files, "zone", 1);
-        EXPECT_EQ(stateOf(third.open()), stateOf(c) + "on ") << what;
+        EXPECT_EQ(formatState(third.open()), formatState(c) + "on ") << what;
         ++cases;
       }
     }
@@ -142,27 +143,27 @@
   std::cout << operations << " operations, " << cases << " cases\n";
 }
 
-// A second crash while the first one is being recovered from.
-TEST(Store, ACrashDuringRecoveryLosesNothing) {
+// A second crash interrupts the recovery from the first.
+TEST(Store, CrashDuringRecoveryLosesNoAcknowledgedChange) {
   int cases = 0;
   for (std::uint64_t first = 8; first < 60; first += 3) {
     for (std::uint64_t second = 0; second < 24; ++second) {
       FaultyFiles files;
       std::string state;
       files.failAt(first, Fault::PowerDuring);
-      const Played run = scripted(files, state);
+      const RunRecord run = runScript(files, state);
       files.restart(After::Torn);
       files.failAt(files.operations() + second, Fault::PowerDuring);
       Store again(files, "zone", 1);
       const auto c = again.open();
-      if (c.found != Store::Found::Failed) again.compact(stateOf(c));
+      if (c.status != Store::OpenStatus::ReadFailed) again.compact(formatState(c));
       files.restart(After::Torn);
       files.failAt(UINT64_MAX, Fault::None);
       Store third(files, "zone", 1);
       const auto last = third.open();
-      if (!run.answered.empty()) {
-        ASSERT_EQ(last.found, Store::Found::Whole);
-        expectSound(stateOf(last), run, std::to_string(first) + "/" + std::to_string(second));
+      if (!run.acknowledged.empty()) {
+        ASSERT_EQ(last.status, Store::OpenStatus::Complete);
+        expectConsistent(formatState(last), run, std::to_string(first) + "/" + std::to_string(second));
       }
       ++cases;
     }
@@ -170,7 +171,7 @@
   EXPECT_GT(cases, 300);
 }
 
-TEST(Store, EveryFlippedBitOfASnapshotIsSeenAndNothingIsOverwritten) {
+TEST(Store, DetectsEveryFlippedBitOfASnapshotAndOverwritesNothing) {
   FaultyFiles files;
   Store store(files, "zone", 1);
   store.open();
@@ -181,7 +182,7 @@
     files.flip(name, bit);
     Store again(files, "zone", 1);
     const auto c = again.open();
-    EXPECT_TRUE(c.found == Store::Found::Damaged || c.found == Store::Found::Newer) << bit;
+    EXPECT_TRUE(c.status == Store::OpenStatus::Damaged || c.status == Store::OpenStatus::NewerVersion) << bit;
     EXPECT_FALSE(again.compact("another"));
     EXPECT_FALSE(again.append("x"));
     files.flip(name, bit);
@@ -190,23 +191,23 @@
   EXPECT_EQ(again.open().snapshot, "the state");
 }
 
-TEST(Store, ANewerVersionIsLeftAloneAndAnOlderOneIsRead) {
+TEST(Store, KeepsFilesOfANewerVersionUnchangedAndReadsAnOlderOne) {
   FaultyFiles files;
   Store two(files, "zone", 2);
   two.open();
   ASSERT_TRUE(two.compact("of version 2"));
   Store one(files, "zone", 1);
   const auto newer = one.open();
-  EXPECT_EQ(newer.found, Store::Found::Newer);
+  EXPECT_EQ(newer.status, Store::OpenStatus::NewerVersion);
   EXPECT_EQ(newer.version, 2u);
   EXPECT_FALSE(one.compact("x"));
   Store three(files, "zone", 3);
   const auto older = three.open();
-  EXPECT_EQ(older.found, Store::Found::Whole);
+  EXPECT_EQ(older.status, Store::OpenStatus::Complete);
   EXPECT_EQ(older.version, 2u);
 }
 
-TEST(Store, SeveralChangesWithOneSyncAreAllOrNone) {
+TEST(Store, AppendsSeveralChangesWithOneSync) {
   FaultyFiles files;
   Store store(files, "zone", 1);
   store.open();
@@ -228,7 +229,7 @@
   ~RealFolder() override { std::filesystem::remove_all(path); }
 };
 
-TEST_F(RealFolder, IsUsedByOneProcessAndHasToBeOurs) {
+TEST_F(RealFolder, IsLockedToOneProcessAndMustBeOwnedByTheUser) {
   Outcome o;
   {
     const auto one = openFolder(path, true, o);
@@ -243,18 +244,19 @@
   const auto again = openFolder(path, true, o);
   ASSERT_NE(again, nullptr) << o.why;
   Store store(*again, "zone", 1);
-  EXPECT_EQ(stateOf(store.open()), "sc ");
+  EXPECT_EQ(formatState(store.open()), "sc ");
   chmod(path.c_str(), 0777);
   EXPECT_EQ(openFolder(path, false, o), nullptr);
   EXPECT_EQ(openFolder(path + "/none", false, o), nullptr);
   EXPECT_TRUE(o.missing);
 }
 
-// A real process killed at random points: what it told of through a pipe is there, and the lock is free.
-TEST_F(RealFolder, AKilledProcessLosesNothingThatItAnswered) {
+// A process is killed at random points. Every change that it reported through a pipe is present afterwards,
+// and the lock is free.
+TEST_F(RealFolder, KilledProcessLosesNoAcknowledgedChange) {
   constexpr int kKills = 60;
   std::mt19937 random(20261201);
-  int answered = 0;  // the greatest that was answered
+  int acknowledged = 0;  // the greatest acknowledged number
   for (int round = 0; round < kKills; ++round) {
     int ends[2];
     ASSERT_EQ(pipe(ends), 0);
@@ -277,31 +279,32 @@
       }
     }
     close(ends[1]);
-    // Killed after so many answers, and then somewhere in the middle of the next.
-    const int wanted = static_cast<int>(random() % 12);
-    int told = 0, count = 0;
-    while (count < wanted && read(ends[0], &told, sizeof told) == sizeof told) {
+    // Kill the child after this number of acknowledgements, at a random point of the next append.
+    const int acknowledgements = static_cast<int>(random() % 12);
+    int reported = 0, count = 0;
+    while (count < acknowledgements && read(ends[0], &reported, sizeof reported) == sizeof reported) {
       ++count;
-      ASSERT_GT(told, answered) << "what was answered before is known";
-      answered = told;
+      ASSERT_GT(reported, acknowledged) << "numbers acknowledged before the restart are not reused";
+      acknowledged = reported;
     }
     usleep(random() % 300);
     kill(child, SIGKILL);
     int status = 0;
     waitpid(child, &status, 0);
-    ASSERT_TRUE(WIFSIGNALED(status)) << "it ended by itself with " << WEXITSTATUS(status);
-    while (read(ends[0], &told, sizeof told) == sizeof told) answered = std::max(answered, told);
+    ASSERT_TRUE(WIFSIGNALED(status)) << "the child ended by itself with exit code " << WEXITSTATUS(status);
+    while (read(ends[0], &reported, sizeof reported) == sizeof reported)
+      acknowledged = std::max(acknowledged, reported);
     close(ends[0]);
   }
   Outcome o;
   const auto files = openFolder(path, true, o);
-  ASSERT_NE(files, nullptr) << "the lock went with the process";
+  ASSERT_NE(files, nullptr) << "the lock of a killed process is released";
   Store store(*files, "n", 1);
   const auto c = store.open();
-  ASSERT_EQ(c.found, Store::Found::Whole);
+  ASSERT_EQ(c.status, Store::OpenStatus::Complete);
   const int last = c.changes.empty() ? std::stoi(c.snapshot) : std::stoi(c.changes.back());
-  EXPECT_GE(last, answered);
-  EXPECT_LE(last, answered + 1);
+  EXPECT_GE(last, acknowledged);
+  EXPECT_LE(last, acknowledged + 1);
 }
 
 }  // namespace
