--- a/src/zone_server/context.h
+++ b/src/zone_server/context.h
@@ -1,4 +1,4 @@
-// What a ZoneSource works with.
+// The environment of a ZoneSource.
 #pragma once
 
 #include <event2/event.h>
@@ -11,14 +11,14 @@
 
 namespace peargrade::zone_server {
 
-// All of it outlives the ZoneSource.
+/// The objects referred to must outlive the ZoneSource.
 struct Context {
   event_base* base = nullptr;
   const discovery::Names* names = nullptr;  // of the configuration
   log::Log* log = nullptr;
-  std::function<Micros()> clock;  // Unix time in microseconds; it never jumps
-  bool firstAnswerWarm =
-      false;  // what the zone offers first has run for long (operator's `first-answer-warm`)
+  std::function<Micros()> clock;  // Unix time in microseconds; monotonic
+  /// Servers in the first observation count as warm (operator setting `first-answer-warm`).
+  bool firstAnswerWarm = false;
 };
 
 }  // namespace peargrade::zone_server
--- a/src/zone_server/disk.cpp
+++ b/src/zone_server/disk.cpp
@@ -10,27 +10,27 @@
 namespace peargrade::zone_server {
 namespace {
 
-constexpr std::size_t kFileMost = std::size_t{256} << 20;
+constexpr std::size_t kMaxFileBytes = std::size_t{256} << 20;
 
-// Differs once one of the files was replaced or changed.
-std::string signatureOf(const std::string& folder, const std::vector<std::string>& files) {
+/// A text that changes when one of the files is replaced, modified or removed.
+std::string computeSignature(const std::string& folder, const std::vector<std::string>& files) {
   std::ostringstream text;
   for (const std::string& file : files) {
-    struct stat about {};
+    struct stat status {};
     std::string path = folder;
     path.append("/").append(file);
     text << file << ' ';
-    if (stat(path.c_str(), &about) != 0)
+    if (stat(path.c_str(), &status) != 0)
       text << "gone;";
     else
-      text << about.st_ino << ' ' << about.st_size << ' ' << about.st_mtim.tv_sec << '.'
-           << about.st_mtim.tv_nsec << ';';
+      text << status.st_ino << ' ' << status.st_size << ' ' << status.st_mtim.tv_sec << '.'
+           << status.st_mtim.tv_nsec << ';';
   }
   return text.str();
 }
 
-// The file itself and, as the last signature lists them, the files that it included then.
-std::vector<std::string> filesIn(const std::string& signature, const std::string& first) {
+/// The zone file `first` and the included files that `signature` lists.
+std::vector<std::string> filesOfSignature(const std::string& signature, const std::string& first) {
   std::vector<std::string> names = {first};
   std::istringstream parts(signature);
   for (std::string part; std::getline(parts, part, ';');) {
@@ -48,7 +48,8 @@
   if (contents.status != OpenStatus::Complete) return;
   stored.snapshot = dns_zone::decodeSnapshot(contents.snapshot);
   if (!stored.snapshot || stored.snapshot->zone.origin() != zone.origin) {
-    stored.errors.push_back(zone.state + ": holds another zone, or one that cannot be read");
+    stored.errors.push_back(zone.state + ": expected a snapshot of zone " + zone.origin +
+                            ", found another zone or invalid data");
     stored.snapshot.reset();
     stored.damaged = true;
     return;
@@ -58,11 +59,11 @@
   }
 }
 
-Written writtenTo(const DiskStore& disk, files::Outcome outcome) {
+WriteResult makeWriteResult(const DiskStore& disk, files::Outcome outcome) {
   return {std::move(outcome), disk.store->journalBytes(), disk.store->snapshotBytes()};
 }
 
-Written noStore() { return {files::Outcome{false, false, "there is no store"}, 0, 0}; }
+WriteResult storeNotOpen() { return {files::Outcome{false, false, "the store is not open"}, 0, 0}; }
 
 }  // namespace
 
@@ -81,23 +82,23 @@
   return stored;
 }
 
-Written appendEntries(DiskStore& disk, const std::vector<std::string>& entries) {
-  return disk.store ? writtenTo(disk, disk.store->append(entries)) : noStore();
+WriteResult appendEntries(DiskStore& disk, const std::vector<std::string>& entries) {
+  return disk.store ? makeWriteResult(disk, disk.store->append(entries)) : storeNotOpen();
 }
 
-Written writeSnapshot(DiskStore& disk, const std::string& snapshot) {
-  return disk.store ? writtenTo(disk, disk.store->compact(snapshot)) : noStore();
+WriteResult writeSnapshot(DiskStore& disk, const std::string& snapshot) {
+  return disk.store ? makeWriteResult(disk, disk.store->compact(snapshot)) : storeNotOpen();
 }
 
 FileReading readIfChanged(const op::Zone& zone, const std::string& last, bool always) {
-  FileReading found;
-  found.accepted = acceptedSerial(zone);
-  found.signature = signatureOf(zone.folder, filesIn(last, zone.file));
-  if (!always && !found.accepted && found.signature == last) return found;
-  found.reading = dns_zone::readMasterFile(zone.file, zone.origin, readerOf(zone.folder));
-  const std::vector<std::string>& read = found.reading->files;
-  found.signature = signatureOf(zone.folder, read.empty() ? std::vector<std::string>{zone.file} : read);
-  return found;
+  FileReading result;
+  result.accepted = acceptedSerial(zone);
+  result.signature = computeSignature(zone.folder, filesOfSignature(last, zone.file));
+  if (!always && !result.accepted && result.signature == last) return result;
+  result.reading = dns_zone::readMasterFile(zone.file, zone.origin, makeFileReader(zone.folder));
+  const std::vector<std::string>& read = result.reading->files;
+  result.signature = computeSignature(zone.folder, read.empty() ? std::vector<std::string>{zone.file} : read);
+  return result;
 }
 
 std::string acceptMarkerPath(const std::string& stateFolder, const std::string& label) {
@@ -112,7 +113,7 @@
   return std::nullopt;
 }
 
-dns_zone::ReadFile readerOf(const std::string& folder) {
+dns_zone::ReadFile makeFileReader(const std::string& folder) {
   return [folder](const std::string& path, std::string& text, std::string& why) {
     namespace fs = std::filesystem;
     std::error_code error;
@@ -124,11 +125,11 @@
     }
     const std::string within = base.string() + "/";
     if (file.string().compare(0, within.size(), within) != 0) {
-      why = "it lies out of the folder";
+      why = "the file is outside the folder";
       return false;
     }
-    if (!fs::is_regular_file(file, error) || fs::file_size(file, error) > kFileMost) {
-      why = "no file of at most 256 MiB";
+    if (!fs::is_regular_file(file, error) || fs::file_size(file, error) > kMaxFileBytes) {
+      why = "expected a regular file of at most 256 MiB";
       return false;
     }
     std::ifstream in(file, std::ios::binary);
--- a/src/zone_server/key_file.h
+++ b/src/zone_server/key_file.h
@@ -1,4 +1,4 @@
-// Reads the keys of signatures: a KDL file that only its owner can read.
+// Reads TSIG keys from a KDL file that only its owner can access.
 //
 //     key "ops.example.org" algorithm="hmac-sha256" secret="BASE64" from="2026-12-01"
 //     until="2027-03-01T12:00:00Z"
@@ -11,13 +11,13 @@
 
 namespace peargrade::zone_server {
 
-// `problems`: a line for each thing that is wrong, with file, line and column; no secret is ever a part of
-// one. With any, no key is taken.
+/// Reads the key file. Adds a line with file, line and column to `problems` for each error; the lines never
+/// contain a part of a secret. Returns no keys if there is any error.
 dns_zone::Keys readKeys(const std::string& path, std::vector<std::string>& problems);
-// The same from a text, for tests.
+/// Parses the text of a key file, as readKeys() does.
 dns_zone::Keys parseKeys(const std::string& text, const std::string& file,
                          std::vector<std::string>& problems);
-// "2026-12-01" or "2026-12-01T12:00:00Z" in Unix seconds; false for anything else.
+/// Parses "2026-12-01" or "2026-12-01T12:00:00Z" (UTC) to Unix seconds. Returns false for any other format.
 bool readTime(const std::string& text, std::int64_t& seconds);
 
 }  // namespace peargrade::zone_server
--- a/src/zone_server/transfer_client.h
+++ b/src/zone_server/transfer_client.h
@@ -1,5 +1,5 @@
-// A secondary's sockets: asks primaries for their SOA over UDP and for transfers over TCP, as
-// dns_zone::Secondary says.
+// The network side of a secondary: queries the SOA of its primaries over UDP and requests transfers over TCP.
+// dns_zone::Secondary decides when and from which primary.
 #pragma once
 
 #include <functional>
@@ -14,47 +14,56 @@
 
 namespace peargrade::zone_server {
 
-// Follows one zone from its primaries. Its limits are in microseconds.
+/// Keeps one zone up to date from its primaries.
 class TransferClient {
  public:
   struct Limits {
-    Micros soa = 1000000;      // an answer over UDP
-    Micros silence = 5000000;  // between two messages of a transfer
-    Micros whole = 120000000;  // a transfer
-    std::size_t records = 1000000;
+    Micros soaTimeout = 1000000;         // for an answer over UDP, and for a TCP connection
+    Micros messageTimeout = 5000000;     // between two messages of a transfer
+    Micros transferTimeout = 120000000;  // for a complete transfer
+    std::size_t maxRecords = 1000000;    // of a transfer
   };
   struct Handlers {
-    std::function<const dns_zone::Zone*()> held;
-    // A whole zone has come; false: it is not taken.
-    std::function<bool(const dns_zone::Zone&)> came;
-    std::function<void()> fresh;  // what is held is as new as the primary's, or has a new end
+    /// The current zone; null if there is none yet.
+    std::function<const dns_zone::Zone*()> currentZone;
+    /// Called with the zone after a transfer. Returns whether it was accepted.
+    std::function<bool(const dns_zone::Zone&)> zoneReceived;
+    /// A primary has confirmed that the zone is up to date, so its expiry was extended.
+    std::function<void()> upToDate;
   };
   TransferClient(event_base* base, const std::string& label, const std::string& origin,
                  std::vector<net::Address> primaries, std::function<Micros()> clock, log::Log& log,
                  Limits limits, Handlers handlers);
   ~TransferClient();
 
+  /// Starts. `freshAt`: when a primary last confirmed the current zone, in Unix microseconds; 0 if unknown.
   void begin(Micros freshAt);
-  // A NOTIFY from this host (any port of it): false where it is no primary of ours.
-  bool notified(const std::string& host);
+  /// Handles a NOTIFY from `host`, whatever its port. Returns false if the host is not a configured primary.
+  bool onNotify(const std::string& host);
   Micros expiresAt() const { return secondary_.expiresAt(); }
 
   struct Counts {
-    std::uint64_t soas = 0, whole = 0, changes = 0, failed = 0, unfit = 0, notifies = 0;
+    std::uint64_t soaQueries = 0;
+    std::uint64_t axfrs = 0;
+    std::uint64_t ixfrs = 0;
+    std::uint64_t failed = 0;  // queries and transfers
+    std::uint64_t unfit = 0;   // IXFRs that did not apply to the current zone
+    std::uint64_t notifies = 0;
   };
   const Counts& counts() const { return counts_; }
 
  private:
-  void carryOut(const dns_zone::Secondary::Step& step);
-  void askSoa();
+  void execute(const dns_zone::Secondary::Step& step);
+  void querySoa();
   void onSoa(const std::string& bytes);
   void transfer();
   void onTransfer(evbuffer* input);
-  void failed(const std::string& why);
+  void onFailure(const std::string& why);
   void close(log::CloseReason reason);
 
   event_base* base_;
-  const std::string label_, origin_;
+  const std::string label_;
+  const std::string origin_;
   const std::vector<net::Address> primaries_;
   const std::function<Micros()> clock_;
   log::Log& log_;
@@ -67,8 +76,9 @@
   std::unique_ptr<net::Stream> tcp_;
   std::unique_ptr<dns_zone::Transfer> transfer_;
   std::string input_;
-  net::Timer due_;
-  net::IdleTimeout wait_, whole_;
+  net::Timer nextStepTimer_;
+  net::IdleTimeout answerTimeout_;
+  net::IdleTimeout transferTimeout_;
   Counts counts_;
 };
 
--- a/src/zone_server/worker.cpp
+++ b/src/zone_server/worker.cpp
@@ -9,13 +9,13 @@
 
 namespace peargrade::zone_server {
 
-Worker::Worker(event_base* base) : wake_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (wake_ < 0) throw std::bad_alloc();
-  const auto ready = [](evutil_socket_t, short, void* self) { static_cast<Worker*>(self)->collect(); };
-  event_.reset(event_new(base, wake_, EV_READ | EV_PERSIST, ready, this));
+Worker::Worker(event_base* base) : wakeFd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  if (wakeFd_ < 0) throw std::bad_alloc();
+  const auto ready = [](evutil_socket_t, short, void* self) { static_cast<Worker*>(self)->runCompletions(); };
+  event_.reset(event_new(base, wakeFd_, EV_READ | EV_PERSIST, ready, this));
   if (!event_) throw std::bad_alloc();
   event_add(event_.get(), nullptr);
-  // Signals are the loop's.
+  // Block all signals in the new thread, so that the event loop receives them.
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_SETMASK, &all, &before);
@@ -29,10 +29,10 @@
     stopping_ = true;
     jobs_.clear();
   }
-  wanted_.notify_one();
+  jobAvailable_.notify_one();
   thread_.join();
   event_.reset();
-  close(wake_);
+  close(wakeFd_);
 }
 
 void Worker::run(Job job) {
@@ -40,37 +40,37 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     jobs_.push_back(std::move(job));
   }
-  wanted_.notify_one();
+  jobAvailable_.notify_one();
 }
 
 void Worker::loop() {
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
-    wanted_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
+    jobAvailable_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
     if (stopping_) return;
     const Job job = std::move(jobs_.front());
     jobs_.pop_front();
     lock.unlock();
-    Done done = job();
+    Completion completion = job();
     lock.lock();
-    done_.push_back(std::move(done));
+    completions_.push_back(std::move(completion));
     const std::uint64_t one = 1;
-    const auto told = write(wake_, &one, sizeof one);
-    static_cast<void>(told);  // full: the loop has not read the last one yet and will see this as well
+    const auto written = write(wakeFd_, &one, sizeof one);
+    static_cast<void>(written);  // fails only if the counter is full; the loop is then woken anyway
   }
 }
 
-void Worker::collect() {
+void Worker::runCompletions() {
   std::uint64_t count = 0;
-  const auto got = read(wake_, &count, sizeof count);
+  const auto got = read(wakeFd_, &count, sizeof count);
   static_cast<void>(got);
-  std::vector<Done> done;
+  std::vector<Completion> completions;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    done.swap(done_);
+    completions.swap(completions_);
   }
-  for (const Done& d : done) {
-    if (d) d();
+  for (const Completion& completion : completions) {
+    if (completion) completion();
   }
 }
 
--- a/src/zone_server/worker.h
+++ b/src/zone_server/worker.h
@@ -1,5 +1,6 @@
-// One thread for work that may block: files and their syncs. Jobs run one after another; what each returns
-// runs on the loop. The loop never waits for it, and it touches nothing of the loop's.
+// A thread for blocking work, such as file access. Jobs run one at a time, in order. The completion that a
+// job returns runs on the event loop, which never waits for the thread. Jobs must not access state of the
+// loop.
 #pragma once
 
 #include <condition_variable>
@@ -13,14 +14,15 @@
 
 namespace peargrade::zone_server {
 
-// A thread and its queue of jobs; run() is called from the loop.
+/// A worker thread with a queue of jobs. run() must be called on the event loop.
 class Worker {
  public:
-  using Done = std::function<void()>;
-  using Job = std::function<Done()>;
+  using Completion = std::function<void()>;
+  using Job = std::function<Completion()>;
 
   explicit Worker(event_base* base);
-  ~Worker();  // finishes the job in hand; what waits is dropped, and no Done is called any more
+  /// Waits for the running job. Queued jobs are dropped, and no further completion is called.
+  ~Worker();
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
@@ -28,14 +30,14 @@
 
  private:
   void loop();
-  void collect();
+  void runCompletions();
 
-  int wake_ = -1;  // an eventfd
+  int wakeFd_ = -1;  // an eventfd, written when a completion is ready
   net::EventHandle event_;
   std::mutex mutex_;
-  std::condition_variable wanted_;
+  std::condition_variable jobAvailable_;
   std::deque<Job> jobs_;
-  std::vector<Done> done_;
+  std::vector<Completion> completions_;
   bool stopping_ = false;
   std::thread thread_;
 };
--- a/src/zone_server/zone_observation.cpp
+++ b/src/zone_server/zone_observation.cpp
@@ -8,18 +8,21 @@
 struct Attributes {
   EndpointState state = EndpointState::Ready;
   Micros startedAt = 0;
-  int zone = -1, kind = -1, cell = -1;
+  // Indexes; -1 if not given.
+  int zone = -1;
+  int kind = -1;
+  int cell = -1;
 };
 
-bool readNumber(const std::string& text, std::int64_t most, std::int64_t& value) {
+bool readNumber(const std::string& text, std::int64_t limit, std::int64_t& value) {
   if (text.empty() || text.size() > 15 || text.find_first_not_of("0123456789") != std::string::npos)
     return false;
   value = std::stoll(text);
-  return value <= most;
+  return value <= limit;
 }
 
-// False where the text is no attribute that can be read.
-bool read(const std::string& text, const discovery::Names& names, Attributes& a) {
+/// Parses an attribute into `a`. Returns false if the text is not a valid attribute.
+bool parseAttribute(const std::string& text, const discovery::Names& names, Attributes& a) {
   const auto equals = text.find('=');
   if (equals == std::string::npos) return false;
   const std::string key = text.substr(0, equals), value = text.substr(equals + 1);
@@ -41,21 +44,21 @@
   return false;
 }
 
-std::string unknownAttribute(const std::string& host, const std::string& text) {
+std::string formatUnknownAttribute(const std::string& host, const std::string& text) {
   std::string note = host;
-  return note.append(": TXT \"").append(text).append("\" is no attribute that is known here");
+  return note.append(": TXT \"").append(text).append("\" is not a known attribute");
 }
 
-Attributes attributesOf(const dns_zone::Zone& zone, const std::string& host, const discovery::Names& names,
-                        std::vector<std::string>& notes) {
+Attributes readAttributes(const dns_zone::Zone& zone, const std::string& host, const discovery::Names& names,
+                          std::vector<std::string>& notes) {
   Attributes a;
   const dns_zone::Zone::Set* set = zone.find(host, dns_zone::Type::TXT);
   if (set == nullptr) return a;
   bool draining = false;
   for (const std::string& data : set->data) {
     for (const std::string& text : dns_zone::textsOf(data)) {
-      if (!read(text, names, a)) notes.push_back(unknownAttribute(host, text));
-      // Of two words on its state the careful one holds.
+      if (!parseAttribute(text, names, a)) notes.push_back(formatUnknownAttribute(host, text));
+      // Draining takes precedence if several strings give a state.
       draining = draining || a.state == EndpointState::Draining;
     }
   }
@@ -63,8 +66,8 @@
   return a;
 }
 
-// The name at the end of the zone's own aliases.
-std::string resolved(const dns_zone::Zone& zone, std::string host) {
+/// Follows the CNAME records of the zone; empty after eight CNAME records or if a target is invalid.
+std::string resolveAlias(const dns_zone::Zone& zone, std::string host) {
   for (int hops = 0; hops < 8; ++hops) {
     const dns_zone::Zone::Set* alias = zone.find(host, dns_zone::Type::CNAME);
     if (alias == nullptr) return host;
@@ -74,7 +77,7 @@
   return "";
 }
 
-// Collects the servers of a zone, target by target.
+/// Collects the servers of a zone.
 struct ServerCollector {
   const dns_zone::Zone& zone;
   const locality::LocalityMap& places;
@@ -83,26 +86,26 @@
   const std::set<std::string>& drained;
   ZoneObservation& offer;
 
-  void target(const dns_zone::Srv& srv) {
-    const std::string host = resolved(zone, srv.target);
-    Attributes attributes = attributesOf(zone, host, names, offer.notes);
+  void addTarget(const dns_zone::Srv& srv) {
+    const std::string host = resolveAlias(zone, srv.target);
+    Attributes attributes = readAttributes(zone, host, names, offer.notes);
     if (drained.count(host) != 0) attributes.state = EndpointState::Draining;
-    bool any = false;
+    bool hasAddress = false;
     for (const dns_zone::Type type : {dns_zone::Type::A, dns_zone::Type::AAAA}) {
       const dns_zone::Zone::Set* addresses = zone.find(host, type);
       if (addresses == nullptr) continue;
       for (const std::string& bytes : addresses->data) {
-        any = true;
-        server(srv, attributes, dns_zone::addressOf(type, bytes));
+        hasAddress = true;
+        addServer(srv, attributes, dns_zone::addressOf(type, bytes));
       }
     }
-    if (any) return;
-    // A target whose address is kept elsewhere: what it was is not known to have gone.
+    if (hasAddress) return;
+    // The address of the target may be in another zone, so its servers must not count as removed.
     offer.observation.unresolvedTargets.insert(srv.target);
-    offer.notes.push_back(srv.target + ": a target without an address in the zone");
+    offer.notes.push_back(srv.target + ": the target has no address record in the zone");
   }
 
-  void server(const dns_zone::Srv& srv, const Attributes& attributes, const std::string& address) {
+  void addServer(const dns_zone::Srv& srv, const Attributes& attributes, const std::string& address) {
     membership::ServiceRecord s;
     s.address = address + ":" + std::to_string(srv.port);
     s.target = srv.target;
@@ -112,7 +115,8 @@
     s.state = attributes.state;
     s.startedAt = attributes.startedAt;
     if (!places.locate(address, s) && attributes.zone < 0) {
-      offer.notes.push_back(s.address + ": no place holds it, and no TXT names its zone");
+      offer.notes.push_back(s.address +
+                            ": no configured place contains the address, and no TXT record gives its zone");
       return;
     }
     if (attributes.zone >= 0) s.zone = attributes.zone;
@@ -156,7 +160,7 @@
     if (set == nullptr) continue;
     for (const std::string& data : set->data) {
       const auto srv = dns_zone::srvOf(data);
-      if (srv && !srv->target.empty()) collector.target(*srv);
+      if (srv && !srv->target.empty()) collector.addTarget(*srv);
     }
   }
   return offer;
--- a/src/zone_server/zone_source_store.cpp
+++ b/src/zone_server/zone_source_store.cpp
@@ -1,4 +1,4 @@
-// ZoneSource and its store: batches of accepted updates appended, the journal compacted into a snapshot.
+// ZoneSource: appends accepted updates to the store in batches and compacts the journal into a snapshot.
 #include <algorithm>
 
 #include "zone_server/zone_source.h"
@@ -6,82 +6,84 @@
 namespace peargrade::zone_server {
 namespace {
 
-constexpr Micros kRetry = 1000000;                           // a store that failed is tried again
-constexpr std::size_t kJournalLeast = std::size_t{4} << 20;  // and twice the snapshot: then it is compacted
+constexpr Micros kCompactRetryDelay = 1000000;  // after a failed snapshot
+// Smaller journals are not compacted.
+constexpr std::size_t kMinCompactionBytes = std::size_t{4} << 20;
 
 }  // namespace
 
-// One batch on its way at a time: what comes meanwhile is the next one, with one sync.
+// Writes one batch at a time, with one sync. Updates that arrive meanwhile form the next batch.
 void ZoneSource::writeNext() {
-  if (busy_ || !processor_ || !processor_->waiting()) return;
-  busy_ = true;
+  if (writing_ || !processor_ || !processor_->waiting()) return;
+  writing_ = true;
   ++counts_.batches;
   auto entries = processor_->begin();
-  if (entries.empty()) return written({});
+  if (entries.empty()) return onBatchWritten({});
   worker_.run([this, disk = disk_, entries = std::move(entries),
-               alive = std::weak_ptr<bool>(alive_)]() -> Worker::Done {
-    const Written result = appendEntries(*disk, entries);
+               alive = std::weak_ptr<bool>(alive_)]() -> Worker::Completion {
+    const WriteResult result = appendEntries(*disk, entries);
     return [this, alive, result] {
       if (alive.expired()) return;
       journalBytes_ = result.journalBytes;
-      written(result.outcome);
+      onBatchWritten(result.outcome);
     };
   });
 }
 
-void ZoneSource::written(const files::Outcome& outcome) {
-  busy_ = false;
+void ZoneSource::onBatchWritten(const files::Outcome& outcome) {
+  writing_ = false;
   for (const auto& answer : processor_->settled(outcome.ok, keys_, unixNow())) {
-    const auto at = waiting_.find(answer.ticket);
-    if (at == waiting_.end()) continue;
+    const auto at = pendingReplies_.find(answer.ticket);
+    if (at == pendingReplies_.end()) continue;
     at->second(answer.bytes);
-    waiting_.erase(at);
+    pendingReplies_.erase(at);
   }
   if (outcome.ok) {
-    for (const dns_zone::Difference& change : processor_->lastChanges()) addDrained(change, drained_);
-    if (!publishSoon_.isScheduled()) publishSoon_.schedule(kGather);
+    for (const dns_zone::Difference& change : processor_->lastChanges()) addDrained(change, drainedHosts_);
+    if (!publishTimer_.isScheduled()) publishTimer_.schedule(kBurstDelay);
   } else {
     ++counts_.failedBatches;
-    around_.log->error("zones") << op_.label << ": " << outcome.why << ", updates not taken code=store";
-    retry_.schedule(0);
+    context_.log->error("zones") << zone_.label << ": " << outcome.why << ", updates rejected code=store";
+    compactTimer_.schedule(0);
   }
-  if (next_) return takeNext();
-  if (journalBytes_ > std::max(kJournalLeast, 2 * snapshotBytes_)) return compact();
+  if (pendingZone_) return installPendingZone();
+  if (journalBytes_ > std::max(kMinCompactionBytes, 2 * snapshotBytes_)) return compact();
   writeNext();
 }
 
 void ZoneSource::compact() {
-  if (op_.state.empty() || broken_ || !processor_) return;
-  if (busy_) return retry_.schedule(kGather);
-  busy_ = true;
+  if (zone_.state.empty() || storeUnusable_ || !processor_) return;
+  if (writing_) return compactTimer_.schedule(kBurstDelay);
+  writing_ = true;
   ++counts_.compactions;
   worker_.run([this, disk = disk_,
-               snapshot = processor_->snapshot(unixNow(), firstSeen_.recent(around_.clock()), freshAt_),
-               alive = std::weak_ptr<bool>(alive_)]() -> Worker::Done {
-    const Written result = writeSnapshot(*disk, snapshot);
+               snapshot = processor_->snapshot(unixNow(), firstSeen_.recent(context_.clock()), confirmedAt_),
+               alive = std::weak_ptr<bool>(alive_)]() -> Worker::Completion {
+    const WriteResult result = writeSnapshot(*disk, snapshot);
     return [this, alive, result] {
-      if (!alive.expired()) compacted(result);
+      if (!alive.expired()) onSnapshotWritten(result);
     };
   });
 }
 
-void ZoneSource::compacted(const Written& result) {
-  busy_ = false;
+void ZoneSource::onSnapshotWritten(const WriteResult& result) {
+  writing_ = false;
   journalBytes_ = result.journalBytes;
   snapshotBytes_ = result.snapshotBytes;
   if (!result.outcome.ok) {
-    around_.log->error("zones") << op_.label << ": " << result.outcome.why << ", tried again code=store";
-    retry_.schedule(kRetry);
+    context_.log->error("zones") << zone_.label << ": " << result.outcome.why
+                                 << ", will be retried code=store";
+    compactTimer_.schedule(kCompactRetryDelay);
   }
-  if (next_) return takeNext();
+  if (pendingZone_) return installPendingZone();
   writeNext();
 }
 
-// What waited while the store was written.
-void ZoneSource::takeNext() {
-  dns_zone::Zone zone = std::move(*next_);
-  next_.reset();
-  take(std::move(zone), nextVerdict_);
+// Installs the zone that arrived while the store was being written.
+void ZoneSource::installPendingZone() {
+  dns_zone::Zone zone = std::move(*pendingZone_);
+  pendingZone_.reset();
+  installZone(std::move(zone), pendingVerdict_);
 }
 
 }  // namespace peargrade::zone_server
--- a/src/zone_server/zone_source_updates.cpp
+++ b/src/zone_server/zone_source_updates.cpp
@@ -1,13 +1,14 @@
-// ZoneSource and dynamic updates (RFC 2136): keys, the address that takes messages, and what becomes of each.
+// ZoneSource: dynamic updates (RFC 2136). Reads the keys, listens for messages and passes them to the
+// processor.
 #include "zone_server/key_file.h"
 #include "zone_server/zone_source.h"
 
 namespace peargrade::zone_server {
 namespace {
 
-constexpr Micros kListenRetry = 1000000;   // an address that is in use is tried again
-constexpr Micros kRefusedEvery = 1000000;  // refusals are told once a second, counted
-constexpr std::size_t kHeaderSize = 12;    // of a DNS message (RFC 1035, section 4.1.1)
+constexpr Micros kListenRetryDelay = 1000000;    // while the address is in use
+constexpr Micros kRefusalLogInterval = 1000000;  // refusals between two log lines are counted
+constexpr std::size_t kHeaderSize = 12;          // of a DNS message (RFC 1035, section 4.1.1)
 
 bool isNotify(const std::string& message) {
   if (message.size() < kHeaderSize) return false;
@@ -20,59 +21,61 @@
 void ZoneSource::listen() {
   std::vector<std::string> problems;
   dns_zone::Keys keys;
-  if (!op_.keys.empty()) keys = readKeys(op_.keys, problems);
-  for (const std::string& p : problems) around_.log->error("zones") << op_.label << ": " << p << " code=keys";
-  if (problems.empty()) keys_ = std::move(keys);  // else the old ones hold
+  if (!zone_.keys.empty()) keys = readKeys(zone_.keys, problems);
+  for (const std::string& p : problems)
+    context_.log->error("zones") << zone_.label << ": " << p << " code=keys";
+  if (problems.empty()) keys_ = std::move(keys);  // otherwise the previous keys stay in force
   if (listener_) return;
   try {
     Listener::Limits limits;
-    limits.connections = op_.connections;
+    limits.maxConnections = zone_.connections;
     listener_ = std::make_unique<Listener>(
-        around_.base, *op_.listen,
+        context_.base, *zone_.listen,
         [this](const std::string& message, const std::string& peer, Listener::Reply reply) {
           onMessage(message, peer, std::move(reply));
         },
-        *around_.log, limits);
-    around_.log->info("zones") << op_.label << ": takes updates at " << listener_->address().text() << ", "
-                               << keys_.size() << " keys";
+        *context_.log, limits);
+    context_.log->info("zones") << zone_.label << ": takes updates at " << listener_->address().text() << ", "
+                                << keys_.size() << " keys";
   } catch (const std::exception& e) {
-    around_.log->error("zones") << op_.label << ": " << e.what() << " code=listen";
-    listenAgain_.schedule(kListenRetry);
+    context_.log->error("zones") << zone_.label << ": " << e.what() << " code=listen";
+    listenRetryTimer_.schedule(kListenRetryDelay);
   }
 }
 
 void ZoneSource::onMessage(const std::string& message, const std::string& peer, Listener::Reply reply) {
   if (isNotify(message)) return onNotify(message, peer, reply);
   if (!processor_) return;
-  const dns_zone::UpdateProcessor::Taken taken = processor_->take(message, keys_, unixNow());
-  if (taken.code == "accepted")
+  const dns_zone::UpdateProcessor::Taken result = processor_->take(message, keys_, unixNow());
+  if (result.code == "accepted")
     ++counts_.accepted;
-  else if (taken.code == "repeated")
+  else if (result.code == "repeated")
     ++counts_.repeated;
   else
-    refused(taken, peer);
-  if (taken.answered)
-    reply(taken.answer);
+    logRefusal(result, peer);
+  if (result.answered)
+    reply(result.answer);
   else
-    waiting_[taken.ticket] = std::move(reply);
+    pendingReplies_[result.ticket] = std::move(reply);
   writeNext();
 }
 
-// A flood of refusals is one line a second.
-void ZoneSource::refused(const dns_zone::UpdateProcessor::Taken& taken, const std::string& peer) {
+// Logs at most one refusal a second, so that a flood does not fill the log.
+void ZoneSource::logRefusal(const dns_zone::UpdateProcessor::Taken& result, const std::string& peer) {
   ++counts_.refused;
-  const Micros now = around_.clock();
-  if (refusedToldAt_ != 0 && now < refusedToldAt_ + kRefusedEvery) {
-    ++refusedUntold_;
+  const Micros now = context_.clock();
+  if (refusalLoggedAt_ != 0 && now < refusalLoggedAt_ + kRefusalLogInterval) {
+    ++unloggedRefusals_;
     return;
   }
-  refusedToldAt_ = now;
-  log::Line line = around_.log->warn("zones");
-  line << op_.label << ": update of " << peer << " refused code=" << taken.code << " "
-       << dns_zone::nameOf(taken.rcode);
-  if (!taken.why.empty()) line << " (" << taken.why << ")";
-  if (refusedUntold_ > 0) line << ", and " << refusedUntold_ << " more since the last line";
-  refusedUntold_ = 0;
+  refusalLoggedAt_ = now;
+  log::Line line = context_.log->warn("zones");
+  line << zone_.label << ": update from " << peer << " refused code=" << result.code << " "
+       << dns_zone::nameOf(result.rcode);
+  if (!result.why.empty()) line << " (" << result.why << ")";
+  if (unloggedRefusals_ > 0)
+    line << ", and " << unloggedRefusals_ << " more refusals since the last such line";
+  unloggedRefusals_ = 0;
 }
 
 }  // namespace peargrade::zone_server
--- a/tests/zone_server/whole_test.cpp
+++ b/tests/zone_server/process_test.cpp
@@ -1,6 +1,6 @@
-// The whole supervisor as a process with a zone of its own, against fakes: a rolling deploy by updates
-// and a process killed at random points, with the checker of the rules reading what the relay was ordered.
-// Size: 8 slices, 6 servers.
+// The supervisor as a process with a zone of its own and fakes for the other parts: a rolling deploy by
+// dynamic updates, and a process killed at random points. SliceCoverage checks the routing tables that the
+// relay receives. Size: 8 slices, 6 servers.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -18,7 +18,9 @@
 namespace {
 
 constexpr Micros kSecond = 1000000;
-constexpr Micros kBareMax = 5 * kSecond, kDrainGrace = 2 * kSecond, kSocketRoom = 300000;
+constexpr Micros kMaxUncovered = 5 * kSecond;
+constexpr Micros kDrainGrace = 2 * kSecond;
+constexpr Micros kSocketAllowance = 300000;
 
 struct Deploy : testing::Test {
   Loop loop;
@@ -35,7 +37,7 @@
     std::filesystem::create_directory(root);
     chmod(root.c_str(), 0700);
     relay.proxies[0] = {"east", 5, true};
-    for (int slice = 0; slice < 8; ++slice) relay.slices[slice] = {{at(slice % 6), "1"}};
+    for (int slice = 0; slice < 8; ++slice) relay.slices[slice] = {{endpointOf(slice % 6), "1"}};
     std::ifstream in(PEARGRADE_EXAMPLE_CONFIG);
     std::string text{std::istreambuf_iterator<char>(in), {}};
     text = replaced(text, "127.0.0.1:3000", listen.text());
@@ -55,12 +57,12 @@
     std::filesystem::remove_all(root);
   }
   static std::string host(int k) { return "bello-" + std::to_string(k); }
-  static std::string at(int k) { return "10.1.0." + std::to_string(k) + ":3000"; }
+  static std::string endpointOf(int k) { return "10.1.0." + std::to_string(k) + ":3000"; }
   static std::string add(int k) {
     return "add " + host(k) + " 60 A 10.1.0." + std::to_string(k) + "\nadd _o._tcp 60 SRV 0 10 3000 " +
            host(k) + "\n";
   }
-  static std::string take(int k) {
+  static std::string removeServer(int k) {
     return "delete " + host(k) + "\ndelete _o._tcp SRV 0 10 3000 " + host(k) + "\n";
   }
   static std::string startedNow() {
@@ -71,9 +73,9 @@
   void start() {
     program = std::make_unique<Program>(std::vector<std::string>{
         PEARGRADE_PROGRAM, "serve", "-c", config->path, "--operator", operatorFile->path});
-    ASSERT_TRUE(until([&] { return said("takes updates at"); })) << program->output();
+    ASSERT_TRUE(until([&] { return hasWritten("takes updates at"); })) << program->output();
   }
-  void untilItAnswers() {
+  void awaitAnswer() {
     collector.reset();
     ASSERT_TRUE(until([&] {
       if (!collector || collector->ended()) {
@@ -89,61 +91,62 @@
       return holds();
     });
   }
-  bool said(const std::string& part) const { return program->output().find(part) != std::string::npos; }
+  bool hasWritten(const std::string& part) const { return program->output().find(part) != std::string::npos; }
   bool used(int k) const {
     for (const auto& [slice, lines] : relay.slices) {
-      if (lines.count(at(k)) != 0) return true;
+      if (lines.count(endpointOf(k)) != 0) return true;
     }
     return false;
   }
-  // `peargrade zone update`; its exit code.
+  // Runs `peargrade zone update` and returns its exit code.
   int update(const std::string& text, const std::vector<std::string>& more = {}) {
-    script.reset();  // the same path: the old one is removed first
+    script.reset();  // remove the old file first, as the new one has the same path
     script = std::make_unique<Written>("_deploy.script", text);
-    std::vector<std::string> words{PEARGRADE_PROGRAM, "zone",     "update",       script->path, "--origin",
-                                   "example.org",     "--server", updates.text(), "--key",      keys->path};
-    words.insert(words.end(), more.begin(), more.end());
-    Program sender(words);
+    std::vector<std::string> arguments{PEARGRADE_PROGRAM, "zone",        "update",   script->path,
+                                       "--origin",        "example.org", "--server", updates.text(),
+                                       "--key",           keys->path};
+    arguments.insert(arguments.end(), more.begin(), more.end());
+    Program sender(arguments);
     EXPECT_TRUE(until([&] { return sender.ended(); }));
     return sender.wait();
   }
 };
 
-// The hard case of the issue: servers are replaced one by one by updates; successors are cold, the old ones
-// drain.
-TEST_F(Deploy, ARollingDeployByUpdatesKeepsTheRules) {
+// Updates replace the servers one by one: each successor is cold, and the old server drains.
+TEST_F(Deploy, RollingDeployByUpdatesKeepsSlicesCovered) {
   start();
   std::string all;
   for (int k = 0; k < 6; ++k) {
     all += add(k);
-    coverage.runs(at(k));
+    coverage.runs(endpointOf(k));
   }
   ASSERT_EQ(update(all), 0) << program->output();
-  untilItAnswers();
+  awaitAnswer();
   for (int k = 0; k < 3; ++k) {
     const int successor = 10 + k;
-    coverage.runs(at(successor));
+    coverage.runs(endpointOf(successor));
     ASSERT_EQ(update(add(successor) + "add " + host(successor) + " 60 TXT started=" + startedNow() + "\n"),
               0);
     ASSERT_EQ(update("add " + host(k) + " 60 TXT state=draining\n", {"--tcp"}), 0);
-    coverage.leaves(at(k), kDrainGrace + kSocketRoom);
-    // An update amid the drain that names it as before does not undrain it.
+    coverage.leaves(endpointOf(k), kDrainGrace + kSocketAllowance);
+    // An update during the drain that repeats the records of the server does not end the drain.
     ASSERT_EQ(update("delete " + host(k) + " TXT\n" + add(k)), 0);
     ASSERT_TRUE(until([&] { return !used(k); })) << program->output();
-    ASSERT_EQ(update(take(k)), 0);
+    ASSERT_EQ(update(removeServer(k)), 0);
   }
   const Micros end = net::steadyNow() + 2 * kSecond;
   until([&] { return net::steadyNow() > end; });
   for (int k = 0; k < 3; ++k) EXPECT_FALSE(used(k)) << k;
-  EXPECT_LE(coverage.worst(), kBareMax + kSocketRoom) << coverage.where();
-  for (const std::string& wrong : coverage.wrongs()) ADD_FAILURE() << wrong;
-  std::cout << "worst bare " << coverage.worst() / 1000 << " ms\n";
+  EXPECT_LE(coverage.worst(), kMaxUncovered + kSocketAllowance) << coverage.where();
+  for (const std::string& violation : coverage.wrongs()) ADD_FAILURE() << violation;
+  std::cout << "longest time without coverage " << coverage.worst() / 1000 << " ms\n";
   program->signal(SIGTERM);
   EXPECT_EQ(program->wait(), 0);
 }
 
-// Killed at random points while updates come: every one that was answered is there after the restart.
-TEST_F(Deploy, AKilledSupervisorLosesNoAnsweredUpdate) {
+// The supervisor is killed at random points while updates arrive. Every acknowledged update is present after
+// the restart.
+TEST_F(Deploy, KilledSupervisorLosesNoAcknowledgedUpdate) {
   constexpr int kKills = 12;
   std::mt19937 random(20261201);
   std::set<int> accepted;
@@ -160,18 +163,18 @@
                                    "example.org", "--server", updates.text(), "--key", keys->path}));
       numbers.push_back(next++);
     }
-    // After so many answers, and then somewhere in the middle of the next.
-    const auto wanted = static_cast<long>(random() % 5 + 1);
+    // Kill after this number of answers, at a random point of the next update.
+    const auto answers = static_cast<long>(random() % 5 + 1);
     loop.until([&] {
       return std::count_if(senders.begin(), senders.end(), [](const auto& s) { return s->ended(); }) >=
-             wanted;
+             answers;
     });
     const Micros until = net::steadyNow() + static_cast<Micros>(random() % 2000);
     loop.until([&] { return net::steadyNow() > until; });
     program->signal(SIGKILL);
     program->wait();
     for (std::size_t k = 0; k < senders.size(); ++k) {
-      // Who had an answer ends at once; who has none is ended here.
+      // A sender that has its answer ends at once. The others are stopped here.
       const Micros limit = net::steadyNow() + 100000;
       loop.until([&] { return senders[k]->ended() || net::steadyNow() > limit; });
       if (senders[k]->ended() && senders[k]->wait() == 0) accepted.insert(numbers[k]);
@@ -180,10 +183,10 @@
   start();
   for (const int k : accepted) {
     EXPECT_EQ(update("need " + host(k) + " A 10.1.0." + std::to_string(k) + "\n"), 0)
-        << k << " was answered and is gone";
+        << k << " was acknowledged and is lost";
   }
   EXPECT_GT(accepted.size(), 5u);
-  std::cout << accepted.size() << " of " << next << " answered over " << kKills << " kills\n";
+  std::cout << accepted.size() << " of " << next << " acknowledged over " << kKills << " kills\n";
 }
 
 TEST(ZoneCommand, ChecksShowsAndComparesFiles) {
@@ -192,12 +195,13 @@
       bad("_bad.zone", head + "bello-1 A 10.1.0.300\nx MX 1 y\n"),
       other("_other.zone",
             "$TTL 60\n@ SOA ns hostmaster 7 3600 600 86400 30\nbello-2.example.org. A 10.1.0.2\n");
-  const auto run = [](const std::vector<std::string>& words, int code, const std::vector<std::string>& says) {
+  const auto run = [](const std::vector<std::string>& arguments, int code,
+                      const std::vector<std::string>& expectedParts) {
     std::vector<std::string> all{PEARGRADE_PROGRAM, "zone"};
-    all.insert(all.end(), words.begin(), words.end());
+    all.insert(all.end(), arguments.begin(), arguments.end());
     Program program(all);
     EXPECT_EQ(program.wait(), code) << program.output();
-    for (const std::string& part : says)
+    for (const std::string& part : expectedParts)
       EXPECT_NE(program.output().find(part), std::string::npos) << program.output();
   };
   run({"check", good.path, "--origin", "example.org."}, 0, {"good, serial 7, 2 records"});
--- a/tests/zone_server/stored_state_test.cpp
+++ b/tests/zone_server/stored_state_test.cpp
@@ -1,5 +1,5 @@
-// A zone's state as version 1 of the store holds it: written by the program of commit 0e4fe96 after five
-// signed updates, a restart and one more update. Every later version has to open it.
+// Compatibility with stored state of format version 1. The sample was written by the program of commit
+// 0e4fe96 after five signed updates, a restart and one more update. Every later version must open it.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -14,12 +14,12 @@
 namespace peargrade::zone_server {
 namespace {
 
-std::string bytesOf(const std::filesystem::path& path) {
+std::string readBytes(const std::filesystem::path& path) {
   std::ifstream file(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// A copy of the sample in a folder that this user alone can read, as the store asks for.
+// Copies the sample to a folder that only this user can access, as the store requires.
 class StoredState : public testing::Test {
  protected:
   StoredState() {
@@ -59,7 +59,7 @@
     EXPECT_NE(zone.find(host, dns_zone::Type::A), nullptr) << host;
     EXPECT_NE(zone.find(host, dns_zone::Type::TXT), nullptr) << host;
   }
-  EXPECT_EQ(zone.find("bello-1.example.org", dns_zone::Type::A), nullptr) << "deleted by an update";
+  EXPECT_EQ(zone.find("bello-1.example.org", dns_zone::Type::A), nullptr) << "an update deleted it";
   const dns_zone::Zone::Set* services = zone.find("_o._tcp.example.org", dns_zone::Type::SRV);
   ASSERT_NE(services, nullptr);
   EXPECT_EQ(services->ttl, 60U);
@@ -79,10 +79,11 @@
   const dns_zone::Snapshot& snapshot = *stored.snapshot;
   const std::string encoded =
       dns_zone::encodeSnapshot(snapshot.zone, snapshot.requests, snapshot.firstSeen, snapshot.freshAt);
-  EXPECT_NE(bytesOf(zone_.state + "/orders.2.snapshot").find(encoded), std::string::npos);
+  EXPECT_NE(readBytes(zone_.state + "/orders.2.snapshot").find(encoded), std::string::npos);
   ASSERT_EQ(stored.entries.size(), 1U);
-  EXPECT_NE(bytesOf(zone_.state + "/orders.2.journal").find(dns_zone::encodeJournalEntry(stored.entries[0])),
-            std::string::npos);
+  EXPECT_NE(
+      readBytes(zone_.state + "/orders.2.journal").find(dns_zone::encodeJournalEntry(stored.entries[0])),
+      std::string::npos);
 }
 
 }  // namespace
