--- a/fakes/collector.cpp
+++ b/fakes/collector.cpp
@@ -6,7 +6,7 @@
 
 Collector::Collector(event_base* base, const net::Address& to) {
   net::Stream::Handlers handlers;
-  handlers.up = [this] { stream_->send(std::exchange(early_, "")); };
+  handlers.up = [this] { stream_->send(std::exchange(queued_, "")); };
   handlers.data = [this](evbuffer* input) {
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, bytes.data(), bytes.size());
@@ -34,7 +34,7 @@
   if (stream_->up())
     stream_->send(bytes);
   else
-    early_ += bytes;
+    queued_ += bytes;
 }
 
 }  // namespace peargrade::fakes
--- a/fakes/discovery.cpp
+++ b/fakes/discovery.cpp
@@ -14,29 +14,29 @@
 namespace peargrade::fakes {
 namespace {
 
-constexpr int kQueue = 4096;  // connections that wait to be taken in
+constexpr int kListenBacklog = 4096;  // connections not accepted yet
 
 }  // namespace
 
 Discovery::Discovery(event_base* base, const std::string& host, std::uint16_t port)
-    : address_{host, port}, http_(evhttp_new(base)), empty_(base, [this] {
+    : address_{host, port}, http_(evhttp_new(base)), emptyLineTimer_(base, [this] {
         if (emptyLines) raw("\n");
-        empty_.schedule(2000000);
+        emptyLineTimer_.schedule(2000000);
       }) {
   evhttp_set_gencb(http_.get(), onRequest, this);
   evhttp_set_bevcb(http_.get(), onAccept, this);
-  // evhttp's own queue has 128 places; a fleet that dials at once needs more.
+  // evhttp's default backlog of 128 is too small for a fleet that connects at the same time.
   sockaddr_in bound = address_.socket();
   evconnlistener* listener =
-      evconnlistener_new_bind(base, nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, kQueue,
-                              reinterpret_cast<sockaddr*>(&bound), sizeof bound);
-  if (listener == nullptr) throw std::runtime_error("discovery cannot listen on " + address_.text());
+      evconnlistener_new_bind(base, nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
+                              kListenBacklog, reinterpret_cast<sockaddr*>(&bound), sizeof bound);
+  if (listener == nullptr) throw std::runtime_error("fake discovery: cannot listen on " + address_.text());
   evhttp_bound_socket* socket = evhttp_bind_listener(http_.get(), listener);
   sockaddr_in at{};
   socklen_t size = sizeof at;
   getsockname(evhttp_bound_socket_get_fd(socket), reinterpret_cast<sockaddr*>(&at), &size);
   address_.port = ntohs(at.sin_port);
-  empty_.schedule(2000000);
+  emptyLineTimer_.schedule(2000000);
 }
 
 void Discovery::set(const std::string& uid, const std::string& az, const std::string& state,
@@ -53,44 +53,44 @@
 std::string Discovery::list(std::int64_t since) const {
   std::string text;
   for (const auto& [uid, entry] : entries_) {
-    if (entry.rev <= since || (since == 0 && entry.gone)) continue;
+    if (entry.rev <= since || (since == 0 && entry.removed)) continue;
     text += (text.empty() ? "" : ",") + entry.json;
   }
   return R"({"rev":)" + std::to_string(rev) + R"(,"all":)" + (since == 0 ? "true" : "false") +
          R"(,"targets":[)" + text + "]}";
 }
 
-// Counts the bytes of a connection from its first.
+// Counts all bytes of a connection, including the first request.
 bufferevent* Discovery::onAccept(event_base* base, void* self) {
   bufferevent* const buffer = bufferevent_socket_new(base, -1, 0);
   if (buffer == nullptr) return nullptr;
   evbuffer_add_cb(
       bufferevent_get_input(buffer),
-      [](evbuffer*, const evbuffer_cb_info* info, void* d) {
-        static_cast<Discovery*>(d)->wireIn += info->n_added;
+      [](evbuffer*, const evbuffer_cb_info* info, void* discovery) {
+        static_cast<Discovery*>(discovery)->wireIn += info->n_added;
       },
       self);
   evbuffer_add_cb(
       bufferevent_get_output(buffer),
-      [](evbuffer*, const evbuffer_cb_info* info, void* d) {
-        static_cast<Discovery*>(d)->wireOut += info->n_added;
+      [](evbuffer*, const evbuffer_cb_info* info, void* discovery) {
+        static_cast<Discovery*>(discovery)->wireOut += info->n_added;
       },
       self);
   return buffer;
 }
 
 void Discovery::onRequest(evhttp_request* request, void* self) {
-  auto* d = static_cast<Discovery*>(self);
-  d->requests.emplace_back(evhttp_request_get_uri(request));
-  d->in.add("request", d->requests.back().size());
+  auto* discovery = static_cast<Discovery*>(self);
+  discovery->requests.emplace_back(evhttp_request_get_uri(request));
+  discovery->in.add("request", discovery->requests.back().size());
   evhttp_connection* connection = evhttp_request_get_connection(request);
-  if (d->mute) {
-    d->muted_[connection] = request;
-    return evhttp_connection_set_closecb(connection, onClose, d);
+  if (discovery->mute) {
+    discovery->muted_[connection] = request;
+    return evhttp_connection_set_closecb(connection, onClose, discovery);
   }
-  if (!d->statuses.empty()) {
-    const int status = d->statuses.front();
-    d->statuses.pop_front();
+  if (!discovery->statuses.empty()) {
+    const int status = discovery->statuses.front();
+    discovery->statuses.pop_front();
     return evhttp_send_reply(request, status, "not now", nullptr);
   }
   const char* path = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(request));
@@ -101,17 +101,17 @@
   evhttp_parse_query_str(text == nullptr ? "" : text, &query);
   const char* since = evhttp_find_header(&query, "since");
   const bool follow = evhttp_find_header(&query, "follow") != nullptr;
-  const std::string body = d->list(follow && since != nullptr ? std::atoll(since) : 0);
+  const std::string body = discovery->list(follow && since != nullptr ? std::atoll(since) : 0);
   evhttp_clear_headers(&query);
   evbuffer* out = evbuffer_new();
   evbuffer_add_printf(out, "%s\n", body.c_str());
-  d->out.add(follow && since != nullptr ? "changes" : "whole", body.size() + 1);
+  discovery->out.add(follow && since != nullptr ? "changes" : "whole", body.size() + 1);
   if (follow) {
     evhttp_send_reply_start(request, 200, "OK");
     evhttp_send_reply_chunk(request, out);
-    d->watches_[connection] = request;
-    evhttp_connection_set_closecb(connection, onClose, d);
-    if (d->onWatch) d->onWatch();
+    discovery->watches_[connection] = request;
+    evhttp_connection_set_closecb(connection, onClose, discovery);
+    if (discovery->onWatch) discovery->onWatch();
   } else {
     evhttp_send_reply(request, 200, "OK", out);
   }
@@ -119,11 +119,11 @@
 }
 
 void Discovery::onClose(evhttp_connection* connection, void* self) {
-  auto* d = static_cast<Discovery*>(self);
-  for (auto* held : {&d->watches_, &d->muted_}) {
+  auto* discovery = static_cast<Discovery*>(self);
+  for (auto* held : {&discovery->watches_, &discovery->muted_}) {
     const auto it = held->find(connection);
     if (it == held->end()) continue;
-    // libevent has let go of the request; it is ours to free.
+    // The request no longer belongs to a connection, so libevent does not free it.
     if (evhttp_request_get_connection(it->second) == nullptr) evhttp_request_free(it->second);
     held->erase(it);
   }
--- a/fakes/dns_endpoint.cpp
+++ b/fakes/dns_endpoint.cpp
@@ -11,9 +11,9 @@
 namespace peargrade::fakes {
 namespace {
 
-constexpr std::size_t kDatagramMax = 4096;  // bytes that a query may have
-constexpr std::size_t kLengthBytes = 2;     // before each message over TCP
-constexpr int kPortAttempts = 64;           // until a port is free for both transports
+constexpr std::size_t kMaxDatagramBytes = 4096;  // of a query
+constexpr std::size_t kLengthBytes = 2;          // before each message over TCP
+constexpr int kPortAttempts = 64;                // to find a port that is free for both transports
 
 std::size_t lengthAt(const std::string& input) {
   return static_cast<std::size_t>(static_cast<unsigned char>(input[0])) << 8 |
@@ -37,19 +37,21 @@
 
 DnsEndpoint::~DnsEndpoint() { close(); }
 
-// TCP first: the system chooses a port, and UDP takes the same. Another program may hold that one for UDP.
+// The system chooses the TCP port, and UDP is bound to the same one. Another program may already use that
+// port for UDP; then the next attempt gets another port.
 void DnsEndpoint::open() {
   if (udp_ >= 0) return;
-  const std::uint16_t wanted = address_.port;
+  const std::uint16_t requestedPort = address_.port;
   bool bound = false;
   for (int attempt = 0; attempt < kPortAttempts && !bound; ++attempt) {
     sockaddr_in at = address_.socket();
-    at.sin_port = htons(wanted);
+    at.sin_port = htons(requestedPort);
     listen(at);
     address_.port = ntohs(at.sin_port);
     bound = bindDatagrams(at);
   }
-  if (!bound) throw std::runtime_error("no port is free for both transports on " + address_.host);
+  if (!bound)
+    throw std::runtime_error("fake DNS server: found no port free for both UDP and TCP on " + address_.host);
   readable_.reset(event_new(
       base_, udp_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<DnsEndpoint*>(self)->onDatagrams(); }, this));
@@ -62,7 +64,7 @@
   };
   listener_.reset(evconnlistener_new_bind(base_, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
                                           -1, reinterpret_cast<sockaddr*>(&at), sizeof at));
-  if (!listener_) throw std::runtime_error("a fake DNS server cannot listen on " + address_.text());
+  if (!listener_) throw std::runtime_error("fake DNS server: cannot listen on " + address_.text());
   socklen_t size = sizeof at;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
 }
@@ -100,7 +102,7 @@
 }
 
 void DnsEndpoint::onDatagrams() {
-  char bytes[kDatagramMax];
+  char bytes[kMaxDatagramBytes];
   sockaddr_in from{};
   for (;;) {
     socklen_t size = sizeof from;
--- a/fakes/dns_endpoint.h
+++ b/fakes/dns_endpoint.h
@@ -1,5 +1,5 @@
-// The sockets of a fake DNS server: UDP and TCP (RFC 1035, section 4.2) at one loopback address, on a loop
-// that the caller owns.
+// The sockets of a fake DNS server: UDP and TCP (RFC 1035, section 4.2) at one loopback address, on an event
+// loop that the caller owns.
 #pragma once
 
 #include <cstdint>
@@ -12,42 +12,44 @@
 
 namespace peargrade::fakes {
 
-/// "\x12\x34" for 0x1234: a number in network byte order.
+/// A 16-bit number in network byte order: "\x12\x34" for 0x1234.
 std::string bigEndian16(unsigned value);
 
-/// A message with its length before it, as TCP carries it (RFC 1035, section 4.2.2).
+/// A message prefixed with its length for TCP (RFC 1035, section 4.2.2).
 std::string framedForTcp(const std::string& message);
 
+/// Accepts DNS messages over both transports and passes them to handlers.
 class DnsEndpoint {
  public:
   /// One TCP connection.
   struct Connection {
     std::unique_ptr<net::Stream> stream;
     evutil_socket_t fd = -1;
-    std::string input;  // bytes of a message that is not complete yet
+    /// Bytes of a message that has not been received completely.
+    std::string input;
   };
   using Peer = std::list<Connection>::iterator;
 
   struct Handlers {
-    /// Answers a datagram from `port` of the loopback host; "" sends nothing.
+    /// Returns the answer to a datagram from loopback port `port`; "" sends nothing.
     std::function<std::string(const std::string& query, std::uint16_t port)> datagram;
-    /// Takes one message of a TCP connection. False: the handler has closed that connection.
+    /// Handles one message of a TCP connection. Returns false if the handler has closed the connection.
     std::function<bool(Peer peer, const std::string& query)> message;
   };
 
-  /// Opens both sockets. With port 0 the system chooses one that is free for both transports. Throws
-  /// std::runtime_error where the address is in use.
+  /// Opens both sockets. For port 0 the system chooses one that is free for both transports. Throws
+  /// std::runtime_error if the address is in use.
   DnsEndpoint(event_base* base, const net::Address& address, Handlers handlers);
   ~DnsEndpoint();
   DnsEndpoint(const DnsEndpoint&) = delete;
   DnsEndpoint& operator=(const DnsEndpoint&) = delete;
 
   const net::Address& address() const { return address_; }
-  /// Closes the sockets and all connections; open() opens them again at the same address.
+  /// Closes the sockets and all connections; open() opens the sockets again at the same address.
   void close();
   void open();
 
-  /// Closes a connection in order, or by a reset.
+  /// end() closes a connection gracefully, reset() with a TCP reset.
   void end(Peer peer) { connections_.erase(peer); }
   void reset(Peer peer);
 
--- a/fakes/faulty_files.h
+++ b/fakes/faulty_files.h
@@ -1,6 +1,6 @@
-// Files in memory that fail as a test says, with the difference between what was written and what would be
-// there after the power has gone. Modelled on what POSIX allows: unsynced data may be kept, lost or torn;
-// names made, renamed or removed since the folder was synced may stand or not.
+// Files in memory with injected faults. Written contents and contents that survive a power loss are tracked
+// separately. The model follows POSIX: unsynced data may be kept, lost or torn; the creation, renaming or
+// removal of a name may be lost unless the folder was synced afterwards.
 #pragma once
 
 #include <cstdint>
@@ -12,33 +12,35 @@
 
 namespace peargrade::fakes {
 
+/// An implementation of files::Files for tests of storage faults and power loss.
 class FaultyFiles : public files::Files {
  public:
   enum class Fault {
     None,
-    PowerBefore,  // the power goes before this operation
-    PowerDuring,  // and in the middle of it: half of its bytes are written
-    FullDisk,     // it fails with half of its bytes written
-    Error,        // it fails and does nothing
-    ShortRead,    // a read that gives half of the file and an error
+    PowerBefore,  // power loss before the operation
+    PowerDuring,  // power loss during the operation: half of its bytes are written
+    FullDisk,     // the operation fails after writing half of its bytes
+    Error,        // the operation fails without effect
+    ShortRead,    // a read returns half of the file and an error
   };
-  // What becomes of everything that was not synced when the power goes.
+  /// What happens to unsynced data and names on a power loss.
   enum class After { Lost, Kept, Torn, NamesLost, DataLost };
 
-  // At the operation of this number, counted from 0; it stands for that one only, but after PowerBefore and
-  // PowerDuring nothing works until restart().
+  /// Injects a fault at operation number `operation`, counted from 0. Only this operation is affected, except
+  /// that after PowerBefore and PowerDuring all operations fail until restart().
   void failAt(std::uint64_t operation, Fault fault) {
     failAt_ = operation;
     fault_ = fault;
   }
   std::uint64_t operations() const { return operations_; }
   bool down() const { return down_; }
-  // The power is back: what lasted is there.
+  /// Restores the power; the files have the contents that survived.
   void restart(After after);
-  // Flips a bit of a file as it stands.
+  /// Flips one bit of a file, in its current and in its durable contents.
   void flip(const std::string& name, std::size_t bit);
   std::map<std::string, std::string> contents() const;
-  void put(const std::string& name, const std::string& bytes);  // durable at once
+  /// Creates a file that is durable immediately.
+  void put(const std::string& name, const std::string& bytes);
 
   files::Outcome read(const std::string& name, std::string& bytes) override;
   files::Outcome write(const std::string& name, const std::string& bytes) override;
@@ -52,16 +54,21 @@
 
  private:
   struct Inode {
-    std::string now, durable;
+    std::string current;
+    std::string durable;
   };
-  // False: the operation is not carried out, and `outcome` says how it ends. `part`: of its bytes that are
-  // written.
-  bool begin(files::Outcome& outcome, double& part);
+  // Counts an operation and applies the injected fault. Returns false if the operation fails with `outcome`;
+  // `fraction` is the share of its bytes that still takes effect.
+  bool begin(files::Outcome& outcome, double& fraction);
+  // The contents of a file, which is created if it does not exist.
   std::string& contents(const std::string& name);
 
   std::vector<Inode> inodes_;
-  std::map<std::string, std::size_t> names_, durableNames_;
-  std::uint64_t operations_ = 0, failAt_ = UINT64_MAX;
+  // Indices into inodes_ by file name.
+  std::map<std::string, std::size_t> names_;
+  std::map<std::string, std::size_t> durableNames_;
+  std::uint64_t operations_ = 0;
+  std::uint64_t failAt_ = UINT64_MAX;
   Fault fault_ = Fault::None;
   bool down_ = false;
 };
--- a/fakes/manual_peer.cpp
+++ b/fakes/manual_peer.cpp
@@ -12,7 +12,7 @@
 namespace peargrade::fakes {
 namespace {
 
-void sendAtOnce(evutil_socket_t fd) {
+void makeNonblockingWithoutDelay(evutil_socket_t fd) {
   evutil_make_socket_nonblocking(fd);
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -23,8 +23,8 @@
 ManualPeer::ManualPeer(const net::Address& to) : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
   const sockaddr_in at = to.socket();
   if (::connect(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-    throw std::runtime_error("cannot dial " + to.text());
-  sendAtOnce(fd_);
+    throw std::runtime_error("manual peer: cannot connect to " + to.text());
+  makeNonblockingWithoutDelay(fd_);
 }
 
 ManualPeer::ManualPeer(ManualPeer&& other) noexcept
@@ -32,23 +32,23 @@
       received_(std::move(other.received_)),
       ended_(other.ended_),
       reset_(other.reset_),
-      unheard_(other.unheard_) {}
+      sendFailed_(other.sendFailed_) {}
 
 ManualPeer::~ManualPeer() { close(); }
 
 std::size_t ManualPeer::send(const std::string& bytes) {
   const ssize_t size = ::send(fd_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-  unheard_ = unheard_ || (size < 0 && errno != EAGAIN && errno != EINTR);
+  sendFailed_ = sendFailed_ || (size < 0 && errno != EAGAIN && errno != EINTR);
   return size < 0 ? 0 : static_cast<std::size_t>(size);
 }
 
 const std::string& ManualPeer::read() {
-  char piece[65536];
+  char chunk[65536];
   while (fd_ >= 0 && !ended()) {
-    const ssize_t size = ::recv(fd_, piece, sizeof piece, MSG_DONTWAIT);
+    const ssize_t size = ::recv(fd_, chunk, sizeof chunk, MSG_DONTWAIT);
     if (size < 0 && (errno == EAGAIN || errno == EINTR)) break;
     if (size > 0)
-      received_.append(piece, static_cast<std::size_t>(size));
+      received_.append(chunk, static_cast<std::size_t>(size));
     else
       (size == 0 ? ended_ : reset_) = true;
   }
@@ -71,7 +71,7 @@
   socklen_t size = sizeof at;
   if (::bind(fd_, reinterpret_cast<sockaddr*>(&at), size) != 0 || ::listen(fd_, 64) != 0 ||
       ::getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size) != 0)
-    throw std::runtime_error("a manual server cannot listen");
+    throw std::runtime_error("manual server: cannot listen on 127.0.0.1");
   evutil_make_socket_nonblocking(fd_);
   address_.port = ntohs(at.sin_port);
 }
@@ -81,7 +81,7 @@
 std::unique_ptr<ManualPeer> ManualServer::accept() {
   const evutil_socket_t fd = ::accept(fd_, nullptr, nullptr);
   if (fd < 0) return nullptr;
-  sendAtOnce(fd);
+  makeNonblockingWithoutDelay(fd);
   return std::make_unique<ManualPeer>(fd);
 }
 
--- a/fakes/manual_peer.h
+++ b/fakes/manual_peer.h
@@ -1,5 +1,6 @@
-// A peer that a test plays by hand, byte by byte: nothing is read, written or closed but when the test says
-// so, so that what crosses on the way crosses every time. Plain sockets on loopback, no loop.
+// Non-blocking sockets on loopback that a test controls step by step. Bytes are read and written, and
+// connections closed, only when the test calls a function, so that races between both sides are reproducible.
+// No event loop is involved.
 #pragma once
 
 #include <string>
@@ -8,11 +9,11 @@
 
 namespace peargrade::fakes {
 
-// One connection. What a call sends is at the other end when the call returns.
+/// One connection. Sent bytes are in the receive buffer of the other side when the call returns.
 class ManualPeer {
  public:
   explicit ManualPeer(evutil_socket_t fd) : fd_(fd) {}
-  // Dials; it is up when this returns, whether the other side has taken it in or not.
+  /// Connects. The connection is established on return, even if the other side has not accepted it yet.
   explicit ManualPeer(const net::Address& to);
   ManualPeer(ManualPeer&& other) noexcept;
   ManualPeer(const ManualPeer&) = delete;
@@ -20,24 +21,31 @@
   ManualPeer& operator=(ManualPeer&&) = delete;
   ~ManualPeer();
 
-  std::size_t send(const std::string& bytes);  // returns how much of it was taken
-  const std::string& read();                   // what has come so far, without waiting
-  // Whether the other side has ended its half, in order or by a reset; it has if all that came was read.
+  /// Returns how many of the bytes were sent.
+  std::size_t send(const std::string& bytes);
+  /// Everything received so far, without waiting.
+  const std::string& read();
+  /// Whether read() has found the end of the other side's data, by a close or a reset.
   bool ended() const { return ended_ || reset_; }
   bool wasReset() const { return reset_; }
-  bool unheard() const { return unheard_; }  // what is sent finds nobody there
+  /// Whether a send has failed because the connection is closed.
+  bool unheard() const { return sendFailed_; }
 
-  void halfClose();  // ends its own half: the other side reads an end, and may go on writing
-  void close();      // in order; unread bytes make it a reset
+  /// Closes the sending direction; the other side reads the end of the data and can still send.
+  void halfClose();
+  /// Closes gracefully; the kernel sends a reset instead if unread bytes remain.
+  void close();
   void reset();
 
  private:
   evutil_socket_t fd_;
   std::string received_;
-  bool ended_ = false, reset_ = false, unheard_ = false;
+  bool ended_ = false;
+  bool reset_ = false;
+  bool sendFailed_ = false;
 };
 
-// A listener whose connections wait until the test takes them in.
+/// A listening socket whose connections stay in the backlog until the test accepts them.
 class ManualServer {
  public:
   ManualServer();
@@ -45,7 +53,7 @@
   ManualServer& operator=(const ManualServer&) = delete;
   ~ManualServer();
   const net::Address& address() const { return address_; }
-  // The next connection, if one is there.
+  /// The next connection of the backlog, or null if it is empty.
   std::unique_ptr<ManualPeer> accept();
 
  private:
--- a/fakes/nameserver.cpp
+++ b/fakes/nameserver.cpp
@@ -9,7 +9,7 @@
 namespace peargrade::fakes {
 namespace {
 
-// Record types and classes, RFC 1035, section 3.2, RFC 2782, 3596 and 6891.
+// Record types and classes: RFC 1035, section 3.2, RFC 2782, 3596 and 6891.
 constexpr std::uint16_t kA = 1;
 constexpr std::uint16_t kNs = 2;
 constexpr std::uint16_t kCname = 5;
@@ -21,7 +21,7 @@
 constexpr std::uint16_t kClassIn = 1;
 constexpr std::uint16_t kClassChaos = 3;
 
-// Bits of a header's flags, and response codes.
+// Header flags and response codes: RFC 1035, section 4.1.1.
 constexpr unsigned kResponse = 0x8000;
 constexpr unsigned kAuthoritative = 0x0400;
 constexpr unsigned kTruncated = 0x0200;
@@ -37,7 +37,7 @@
 std::string u16(unsigned value) { return bigEndian16(value); }
 std::string u32(std::uint32_t value) { return u16(value >> 16) + u16(value & 0xFFFF); }
 
-std::string wireName(const std::string& name) {
+std::string encodeName(const std::string& name) {
   std::string wire;
   for (std::size_t at = 0; at < name.size();) {
     const std::size_t dot = std::min(name.find('.', at), name.size());
@@ -49,20 +49,21 @@
 
 std::string record(const std::string& owner, std::uint16_t type, std::uint32_t ttl, const std::string& data,
                    std::uint16_t cls = 1) {
-  return wireName(owner) + u16(type) + u16(cls) + u32(ttl) + u16(static_cast<unsigned>(data.size())) + data;
+  return encodeName(owner) + u16(type) + u16(cls) + u32(ttl) + u16(static_cast<unsigned>(data.size())) + data;
 }
 
-std::string dataOf(const NameServer::Data& d) {
+std::string encodeData(const NameServer::Data& data) {
   char bytes[16];
-  if (d.type == 1 && inet_pton(AF_INET, d.value.c_str(), bytes) == 1) return {bytes, 4};
-  if (d.type == kAaaa && inet_pton(AF_INET6, d.value.c_str(), bytes) == 1) return {bytes, 16};
-  if (d.type == kSrv) return u16(d.priority) + u16(d.weight) + u16(d.port) + wireName(d.value);
-  return wireName(d.value);
+  if (data.type == 1 && inet_pton(AF_INET, data.value.c_str(), bytes) == 1) return {bytes, 4};
+  if (data.type == kAaaa && inet_pton(AF_INET6, data.value.c_str(), bytes) == 1) return {bytes, 16};
+  if (data.type == kSrv)
+    return u16(data.priority) + u16(data.weight) + u16(data.port) + encodeName(data.value);
+  return encodeName(data.value);
 }
 
 std::string soa(const std::string& zone, std::uint32_t negativeTtl) {
   return record(zone, kSoa, 3600,
-                wireName("ns." + zone) + wireName("hostmaster." + zone) + u32(1) + u32(3600) + u32(600) +
+                encodeName("ns." + zone) + encodeName("hostmaster." + zone) + u32(1) + u32(3600) + u32(600) +
                     u32(86400) + u32(negativeTtl));
 }
 
@@ -76,7 +77,7 @@
   bool edns = false;
   unsigned payload = kPlainPayload;
 
-  // False for what is no query.
+  // Returns false if the bytes are not a query.
   bool read(const std::string& bytes);
   unsigned udpPayload() const { return edns ? payload : kPlainPayload; }
 };
@@ -155,13 +156,14 @@
 }
 
 void NameServer::fail(Fault fault, Over over, const std::string& name) {
-  scripts_.push_back({fault, over, name});
+  injectedFaults_.push_back({fault, over, name});
 }
 
-const NameServer::Script* NameServer::scriptFor(const std::string& name, bool tcp) const {
-  for (const Script& s : scripts_) {
-    if ((s.name.empty() || s.name == name) && (s.over == Over::Both || (s.over == Over::Tcp) == tcp))
-      return &s;
+const NameServer::InjectedFault* NameServer::findFault(const std::string& name, bool tcp) const {
+  for (const InjectedFault& fault : injectedFaults_) {
+    if ((fault.name.empty() || fault.name == name) &&
+        (fault.over == Over::Both || (fault.over == Over::Tcp) == tcp))
+      return &fault;
   }
   return nullptr;
 }
@@ -172,26 +174,27 @@
 }
 
 std::string NameServer::answer(const std::string& bytes, bool tcp, std::uint16_t port,
-                               const Script*& script) {
+                               const InjectedFault*& injected) {
   Query query;
   if (!query.read(bytes)) return "";
   seen.push_back({query.name, query.type, query.id, port, tcp, query.edns});
   if (raw) return raw(bytes);
-  script = scriptFor(query.name, tcp);
-  Reply reply = goodReply(query);
-  if (script != nullptr && !spoil(reply, query, script->fault)) return "";
-  if (script != nullptr && script->fault == Fault::Malformed) {
-    const std::string whole = reply.bytes();
-    return whole.substr(0, whole.size() - 3);
+  injected = findFault(query.name, tcp);
+  Reply reply = makeReply(query);
+  if (injected != nullptr && !applyFault(reply, query, injected->fault)) return "";
+  if (injected != nullptr && injected->fault == Fault::Malformed) {
+    const std::string complete = reply.bytes();
+    return complete.substr(0, complete.size() - 3);
   }
-  const bool oversized = script != nullptr && script->fault == Fault::Oversized;
+  const bool oversized = injected != nullptr && injected->fault == Fault::Oversized;
   if (tcp || oversized || reply.bytes().size() <= query.udpPayload()) return reply.bytes();
-  reply.flags |= kTruncated;  // as a server does on its own: what fits, whole records
+  // Regular truncation: the complete records that fit into the payload.
+  reply.flags |= kTruncated;
   while (!reply.answers.empty() && reply.bytes().size() > query.udpPayload()) reply.answers.pop_back();
   return reply.bytes();
 }
 
-NameServer::Reply NameServer::goodReply(const Query& query) const {
+NameServer::Reply NameServer::makeReply(const Query& query) const {
   Reply reply;
   reply.id = query.id;
   reply.question = query.question;
@@ -206,19 +209,19 @@
     std::string alias;
     for (const Data& data : found->second) {
       if (data.type == query.type || data.type == kCname)
-        reply.answers.push_back(record(at, data.type, data.ttl, dataOf(data)));
+        reply.answers.push_back(record(at, data.type, data.ttl, encodeData(data)));
       if (data.type == kCname) alias = data.value;
     }
     if (alias.empty()) break;
     at = alias;
-    // What lies outside its zone it does not know.
+    // The server has no records outside its zone.
     if (at.size() < zone.size() || at.compare(at.size() - zone.size(), zone.size(), zone) != 0) break;
   }
   if (reply.answers.empty()) reply.authority.push_back(soa(zone, negativeTtl));
   return reply;
 }
 
-bool NameServer::spoil(Reply& reply, const Query& query, Fault fault) const {
+bool NameServer::applyFault(Reply& reply, const Query& query, Fault fault) const {
   const std::string& question = reply.question;
   const std::size_t nameEnd = question.size() - kTypeAndClassBytes;
   switch (fault) {
@@ -239,13 +242,13 @@
     case Fault::LameReferral:
       reply.refuse(0);
       reply.flags = kResponse;
-      reply.authority.push_back(record("org", kNs, 3600, wireName("ns.elsewhere.org")));
+      reply.authority.push_back(record("org", kNs, 3600, encodeName("ns.elsewhere.org")));
       break;
     case Fault::WrongId:
       reply.id = static_cast<std::uint16_t>(reply.id + 1);
       break;
     case Fault::WrongName:
-      reply.question = wireName("other.example.org") + question.substr(nameEnd);
+      reply.question = encodeName("other.example.org") + question.substr(nameEnd);
       break;
     case Fault::WrongType:
       reply.question = question.substr(0, nameEnd) + u16(kTxt) + u16(kClassIn);
@@ -257,12 +260,12 @@
       reply.flags = 0;
       break;
     default:
-      spoilRecords(reply, query, fault);
+      applyRecordFault(reply, query, fault);
   }
   return true;
 }
 
-void NameServer::spoilRecords(Reply& reply, const Query& query, Fault fault) const {
+void NameServer::applyRecordFault(Reply& reply, const Query& query, Fault fault) const {
   switch (fault) {
     case Fault::Truncated:
       reply.flags |= kTruncated;
@@ -289,42 +292,42 @@
         reply.additional.push_back(record("filler.example.org", kTxt, 60, std::string(200, '\x07')));
       break;
     case Fault::Contradiction:
-      reply.answers.push_back(record(query.name, kCname, 60, wireName("x.example.org")));
+      reply.answers.push_back(record(query.name, kCname, 60, encodeName("x.example.org")));
       break;
     case Fault::AliasLoop:
       reply.rcode = 0;
-      reply.answers = {record(query.name, kCname, 60, wireName("x.example.org")),
-                       record("x.example.org", kCname, 60, wireName(query.name))};
+      reply.answers = {record(query.name, kCname, 60, encodeName("x.example.org")),
+                       record("x.example.org", kCname, 60, encodeName(query.name))};
       break;
     case Fault::NxWithData:
       reply.rcode = kNxDomain;
       break;
     default:
-      break;  // Faults of the bytes or of the connection.
+      break;  // The other faults apply to the encoded message or to the connection.
   }
 }
 
 std::string NameServer::answerDatagram(const std::string& query, std::uint16_t port) {
-  const Script* script = nullptr;
-  return answer(query, false, port, script);
+  const InjectedFault* injected = nullptr;
+  return answer(query, false, port, injected);
 }
 
 bool NameServer::answerStream(DnsEndpoint::Peer peer, const std::string& query) {
-  const Script* script = nullptr;
-  const std::string out = answer(query, true, 0, script);
-  if (script != nullptr && script->fault == Fault::Reset) {
+  const InjectedFault* injected = nullptr;
+  const std::string out = answer(query, true, 0, injected);
+  if (injected != nullptr && injected->fault == Fault::Reset) {
     endpoint_.reset(peer);
     return false;
   }
   if (out.empty()) return true;
   const std::string bytes = framedForTcp(out);
-  if (script != nullptr && script->fault == Fault::HalfAnswer) {
+  if (injected != nullptr && injected->fault == Fault::HalfAnswer) {
     peer->stream->send(bytes.substr(0, bytes.size() / 2));
     peer->stream->flush();
     endpoint_.end(peer);
     return false;
   }
-  if (script != nullptr && script->fault == Fault::Pieces) {
+  if (injected != nullptr && injected->fault == Fault::Pieces) {
     for (const char byte : bytes) send(peer->fd, &byte, 1, MSG_NOSIGNAL);
   } else {
     peer->stream->send(bytes);
--- a/fakes/relay.cpp
+++ b/fakes/relay.cpp
@@ -11,7 +11,8 @@
 namespace peargrade::fakes {
 namespace {
 
-constexpr std::size_t kEnd = 2;  // CRLF
+constexpr std::size_t kLineEndBytes = 2;  // CRLF
+constexpr Micros kHeartbeatInterval = 1000000;
 
 std::vector<std::string> split(const std::string& text, char at) {
   std::vector<std::string> words;
@@ -26,8 +27,8 @@
   return text.str();
 }
 
-// The lines that say that a slice is the supervisor's, with the routes that the store holds for it.
-std::string assignmentOf(int slice, const std::map<std::string, std::string>& routes) {
+// The watch events that assign a slice to the supervisor, with the stored routes of the slice.
+std::string formatAssignment(int slice, const std::map<std::string, std::string>& routes) {
   const std::string number = std::to_string(slice);
   std::string text = "* owner " + number + " 1\r\n";
   for (const auto& [host, weight] : routes) {
@@ -39,12 +40,12 @@
 }  // namespace
 
 Relay::Relay(event_base* base, const std::string& host, std::uint16_t port)
-    : base_(base), address_{host, port}, life_(base, [this] {
+    : base_(base), address_{host, port}, heartbeatTimer_(base, [this] {
         if (lifeSigns) life();
-        life_.schedule(1000000);
+        heartbeatTimer_.schedule(kHeartbeatInterval);
       }) {
   listen();
-  life_.schedule(1000000);
+  heartbeatTimer_.schedule(kHeartbeatInterval);
 }
 
 void Relay::listen() {
@@ -54,7 +55,7 @@
   };
   listener_.reset(evconnlistener_new_bind(base_, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
                                           -1, reinterpret_cast<sockaddr*>(&at), sizeof at));
-  if (!listener_) throw std::runtime_error("the relay cannot listen on " + address_.text());
+  if (!listener_) throw std::runtime_error("fake relay: cannot listen on " + address_.text());
   socklen_t size = sizeof at;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
   address_.port = ntohs(at.sin_port);
@@ -70,9 +71,9 @@
 void Relay::accept(evutil_socket_t fd) {
   ++dials;
   peers_.emplace_back();
-  const At peer = std::prev(peers_.end());
+  const PeerPosition peer = std::prev(peers_.end());
   fds_[peer] = fd;
-  const auto gone = [this, peer](log::CloseReason, const std::string&) {
+  const auto onEnd = [this, peer](log::CloseReason, const std::string&) {
     fds_.erase(peer);
     peers_.erase(peer);
   };
@@ -83,26 +84,26 @@
     bool ended = false;
     for (std::string line; !ended && peer->lines.next(line);) onLine(peer, line, ended);
   };
-  peer->stream = std::make_unique<net::Stream>(base_, fd, net::Stream::Handlers{nullptr, data, gone});
+  peer->stream = std::make_unique<net::Stream>(base_, fd, net::Stream::Handlers{nullptr, data, onEnd});
 }
 
-void Relay::onLine(At peer, const std::string& line, bool& gone) {
+void Relay::onLine(PeerPosition peer, const std::string& line, bool& closed) {
   if (line == "WATCH") {
     ++watches;
     peer->watching = true;
-    in.add("watch", line.size() + kEnd);
+    in.add("watch", line.size() + kLineEndBytes);
     if (muteNews) return;
-    const std::string text = "OK\r\n" + standing();
-    return say(*peer, "standing", text,
-               static_cast<std::uint64_t>(std::count(text.begin(), text.end(), '\n')));
+    const std::string text = "OK\r\n" + snapshot();
+    return send(*peer, "standing", text,
+                static_cast<std::uint64_t>(std::count(text.begin(), text.end(), '\n')));
   }
   if (line.compare(0, 6, "APPLY ") != 0) {
-    in.add("unknown", line.size() + kEnd);
-    return say(*peer, "answer", "ERR invalid\r\n");
+    in.add("unknown", line.size() + kLineEndBytes);
+    return send(*peer, "answer", "ERR invalid\r\n");
   }
-  in.add("apply", line.size() + kEnd);
-  const std::string sent = line.substr(6);
-  if (keep) calls.push_back(sent);
+  in.add("apply", line.size() + kLineEndBytes);
+  const std::string commands = line.substr(6);
+  if (keep) calls.push_back(commands);
   Fault fault = Fault::None;
   if (!faults.empty()) {
     fault = faults.front();
@@ -112,122 +113,123 @@
     resetOnClose(fds_[peer]);
     fds_.erase(peer);
     peers_.erase(peer);
-    gone = true;
+    closed = true;
   };
   switch (fault) {
     case Fault::None:
-      return say(*peer, "answer", "OK " + std::to_string(carryOut(sent)) + "\r\n");
+      return send(*peer, "answer", "OK " + std::to_string(executeCall(commands)) + "\r\n");
     case Fault::BreakBefore:
       return reset();
     case Fault::BreakAfter:
-      carryOut(sent);
+      executeCall(commands);
       return reset();
     case Fault::Silent:
       return;
     case Fault::Held:
-      peer->held = "OK " + std::to_string(carryOut(sent)) + "\r\n";
+      peer->heldAnswer = "OK " + std::to_string(executeCall(commands)) + "\r\n";
       return;
     case Fault::Garbage:
-      carryOut(sent);
-      return say(*peer, "answer", "\x01\x02 what\r\n");
+      executeCall(commands);
+      return send(*peer, "answer", "\x01\x02 what\r\n");
     case Fault::Throttled:
-      return say(*peer, "answer", "ERR throttled\r\n");
+      return send(*peer, "answer", "ERR throttled\r\n");
     case Fault::Invalid:
-      return say(*peer, "answer", "ERR invalid\r\n");
+      return send(*peer, "answer", "ERR invalid\r\n");
   }
 }
 
-std::size_t Relay::carryOut(const std::string& sent) {
+std::size_t Relay::executeCall(const std::string& commands) {
   std::size_t count = 0;
-  for (const std::string& order : split(sent, ';')) {
-    if (!carryOutOne(order)) break;
+  for (const std::string& order : split(commands, ';')) {
+    if (!executeCommand(order)) break;
     ++count;
     if (keep) orders.push_back(order);
     if (onOrder) onOrder(order);
   }
-  if (onCall) onCall(sent);
+  if (onCall) onCall(commands);
   return count;
 }
 
-bool Relay::carryOutOne(const std::string& order) {
-  const std::vector<std::string> w = split(order, ',');
-  if (w[0] == "put" && w.size() == 4) {
-    if (!servers.empty() && servers.count(w[2]) == 0) return false;
-    const auto it = slices.find(std::atoi(w[1].c_str()));
-    if (it == slices.end()) return true;  // not held: counted, changes nothing
-    if (std::atof(w[3].c_str()) > 0)
-      it->second[w[2]] = w[3];
+bool Relay::executeCommand(const std::string& order) {
+  const std::vector<std::string> words = split(order, ',');
+  if (words[0] == "put" && words.size() == 4) {
+    if (!servers.empty() && servers.count(words[2]) == 0) return false;
+    const auto it = slices.find(std::atoi(words[1].c_str()));
+    if (it == slices.end()) return true;  // an unassigned slice: the command is accepted without effect
+    if (std::atof(words[3].c_str()) > 0)
+      it->second[words[2]] = words[3];
     else
-      it->second.erase(w[2]);
+      it->second.erase(words[2]);
     return true;
   }
-  if (w[0] == "wipe" && w.size() == 2) {
-    const auto it = slices.find(std::atoi(w[1].c_str()));
+  if (words[0] == "wipe" && words.size() == 2) {
+    const auto it = slices.find(std::atoi(words[1].c_str()));
     if (it != slices.end()) it->second.clear();
     return true;
   }
-  if (w[0] == "eject" || w[0] == "uneject")
-    return w.size() == 2 && (servers.empty() || servers.count(w[1]) > 0);
-  return (w[0] == "gate" && w.size() == 5) || (w[0] == "fence" && w.size() == 3);
+  if (words[0] == "eject" || words[0] == "uneject")
+    return words.size() == 2 && (servers.empty() || servers.count(words[1]) > 0);
+  return (words[0] == "gate" && words.size() == 5) || (words[0] == "fence" && words.size() == 3);
 }
 
-std::string Relay::standing() const {
+std::string Relay::snapshot() const {
   std::string text;
-  for (const auto& [id, p] : proxies) {
-    text += "* attach " + std::to_string(id) + " " + p.az + " " + number(p.share) +
-            (p.standing ? " 1\r\n" : " 0\r\n");
+  for (const auto& [id, proxy] : proxies) {
+    text += "* attach " + std::to_string(id) + " " + proxy.az + " " + number(proxy.share) +
+            (proxy.standing ? " 1\r\n" : " 0\r\n");
   }
-  for (const auto& [slice, routes] : slices) text += assignmentOf(slice, routes);
+  for (const auto& [slice, routes] : slices) text += formatAssignment(slice, routes);
   return text;
 }
 
-void Relay::say(Peer& peer, const char* kind, const std::string& bytes, std::uint64_t messages) {
+void Relay::send(Peer& peer, const char* kind, const std::string& bytes, std::uint64_t messages) {
   out.add(kind, bytes.size(), messages);
   peer.stream->send(bytes);
   unsentMost = std::max(unsentMost, peer.stream->unsent());
 }
 
-void Relay::tell(const char* kind, const std::string& bytes) {
+void Relay::broadcast(const char* kind, const std::string& bytes) {
   if (muteNews) return;
   for (Peer& peer : peers_) {
-    if (peer.watching) say(peer, kind, bytes);
+    if (peer.watching) send(peer, kind, bytes);
   }
 }
 
-void Relay::raw(const std::string& bytes) { tell("other", bytes); }
+void Relay::raw(const std::string& bytes) { broadcast("other", bytes); }
 
 void Relay::attach(int proxy, const Proxy& how) {
   proxies[proxy] = how;
-  tell("attach", "* attach " + std::to_string(proxy) + " " + how.az + " " + number(how.share) +
-                     (how.standing ? " 1" : " 0") + "\r\n");
+  broadcast("attach", "* attach " + std::to_string(proxy) + " " + how.az + " " + number(how.share) +
+                          (how.standing ? " 1" : " 0") + "\r\n");
 }
 
 void Relay::detach(int proxy) {
   proxies.erase(proxy);
-  tell("detach", "* detach " + std::to_string(proxy) + "\r\n");
+  broadcast("detach", "* detach " + std::to_string(proxy) + "\r\n");
 }
 
 void Relay::give(int slice, const std::map<std::string, std::string>& lines) {
   slices[slice] = lines;
-  tell("owner", assignmentOf(slice, lines));
+  broadcast("owner", formatAssignment(slice, lines));
 }
 
 void Relay::take(int slice) {
   slices.erase(slice);
-  tell("owner", "* owner " + std::to_string(slice) + " 0\r\n");
+  broadcast("owner", "* owner " + std::to_string(slice) + " 0\r\n");
 }
 
 void Relay::done(int proxy, int mark, double lagMs) {
-  tell("done", "* done " + std::to_string(proxy) + " " + std::to_string(mark) + " " + number(lagMs) + "\r\n");
+  broadcast("done",
+            "* done " + std::to_string(proxy) + " " + std::to_string(mark) + " " + number(lagMs) + "\r\n");
 }
 
 void Relay::answerHeld() {
-  for (Peer& peer : peers_) peer.stream->send(std::exchange(peer.held, ""));
+  for (Peer& peer : peers_) peer.stream->send(std::exchange(peer.heldAnswer, ""));
 }
 
 void Relay::breakNews() {
   for (auto peer = peers_.begin(); peer != peers_.end();) {
-    const At at = peer++;
+    const PeerPosition at = peer++;
     if (!at->watching) continue;
     resetOnClose(fds_[at]);
     fds_.erase(at);
@@ -237,7 +239,7 @@
 
 void Relay::closeCalls() {
   for (auto peer = peers_.begin(); peer != peers_.end();) {
-    const At at = peer++;
+    const PeerPosition at = peer++;
     if (at->watching) continue;
     fds_.erase(at);
     peers_.erase(at);
--- a/fakes/slice_coverage.cpp
+++ b/fakes/slice_coverage.cpp
@@ -4,6 +4,12 @@
 #include <sstream>
 
 namespace peargrade::fakes {
+namespace {
+
+// A route that is kept is recorded again after this time, in microseconds.
+constexpr Micros kViolationInterval = 1000000;
+
+}  // namespace
 
 SliceCoverage::SliceCoverage(Relay& relay, std::function<Micros()> clock)
     : relay_(relay), clock_(std::move(clock)) {
@@ -14,16 +20,17 @@
     std::getline(words, slice, ',');
     std::getline(words, server, ',');
     std::getline(words, weight, ',');
-    const auto left = left_.find(server);
-    if (kind == "put" && std::atof(weight.c_str()) > 0 && left != left_.end() && clock_() > left->second)
-      wrongs_.push_back("set after it left: " + order);
+    const auto graceEnd = graceEnds_.find(server);
+    if (kind == "put" && std::atof(weight.c_str()) > 0 && graceEnd != graceEnds_.end() &&
+        clock_() > graceEnd->second)
+      violations_.push_back("route set after the grace period: " + order);
     sample();
   };
 }
 
 void SliceCoverage::leaves(const std::string& server, Micros grace) {
   running_.erase(server);
-  left_[server] = clock_() + grace;
+  graceEnds_[server] = clock_() + grace;
 }
 
 void SliceCoverage::sample() {
@@ -32,19 +39,20 @@
     bool usable = false;
     for (const auto& [server, weight] : lines) {
       usable = usable || running_.count(server) != 0;
-      const auto left = left_.find(server);
-      if (left == left_.end() || now <= left->second) continue;
-      wrongs_.push_back("kept after it left: slice " + std::to_string(slice) + " at " + server);
-      left->second = now + 1000000;  // once a second
+      const auto graceEnd = graceEnds_.find(server);
+      if (graceEnd == graceEnds_.end() || now <= graceEnd->second) continue;
+      violations_.push_back("route kept after the grace period: slice " + std::to_string(slice) + " at " +
+                            server);
+      graceEnd->second = now + kViolationInterval;
     }
     if (usable) {
-      bareSince_.erase(slice);
+      unroutableSince_.erase(slice);
       continue;
     }
-    const Micros since = bareSince_.emplace(slice, now).first->second;
-    if (now - since <= worst_) continue;
-    worst_ = now - since;
-    where_ = "slice " + std::to_string(slice);
+    const Micros since = unroutableSince_.emplace(slice, now).first->second;
+    if (now - since <= longestUnroutable_) continue;
+    longestUnroutable_ = now - since;
+    worstSlice_ = "slice " + std::to_string(slice);
   }
 }
 
--- a/fakes/slice_coverage.h
+++ b/fakes/slice_coverage.h
@@ -1,6 +1,6 @@
-// A checker of two rules, simple and apart from the program: from the tables as the relay's store holds them,
-// how long each slice had no line to a server that can take work, and whether a line was set to one that
-// drains or has gone.
+// Checks two rules on the routing tables in the relay's store, independently of the decision engine: how long
+// a slice has had no route to a running server, and whether routes were set or kept to a draining or removed
+// server.
 #pragma once
 
 #include <functional>
@@ -13,35 +13,43 @@
 
 namespace peargrade::fakes {
 
+/// Records violations while a test runs.
 class SliceCoverage {
  public:
-  // `clock` in microseconds. It takes over the relay's onOrder.
+  /// `clock` returns microseconds. Replaces the relay's onOrder callback.
   SliceCoverage(Relay& relay, std::function<Micros()> clock);
 
-  // ---- The truth ----
+  // ---- Actual state of the servers ----
+
+  /// The server is running and can serve requests.
   void runs(const std::string& server) { running_.insert(server); }
-  // From now on nothing is to be sent there; lines that stand have `grace` to go.
+  /// The server drains or has been removed: no new route may be set to it, and existing routes must be
+  /// removed within `grace`.
   void leaves(const std::string& server, Micros grace);
 
-  // To be called often: a slice counts as bare between two calls that both see it so.
+  /// Evaluates the tables. Call it often: a slice counts as unroutable between two calls that both find no
+  /// usable route.
   void sample();
 
-  // ---- What was seen ----
-  Micros worst() const { return worst_; }  // longest that a slice had no usable line
-  const std::string& where() const { return where_; }
-  const std::vector<std::string>& wrongs() const {
-    return wrongs_;
-  }  // lines that were set or kept against a leave
+  // ---- Results ----
+
+  /// Longest time for which a slice had no usable route.
+  Micros worst() const { return longestUnroutable_; }
+  /// The slice of worst().
+  const std::string& where() const { return worstSlice_; }
+  /// Routes that were set or kept to a server after its grace period.
+  const std::vector<std::string>& wrongs() const { return violations_; }
 
  private:
   Relay& relay_;
   std::function<Micros()> clock_;
   std::set<std::string> running_;
-  std::map<std::string, Micros> left_;  // when its grace ends
-  std::map<int, Micros> bareSince_;
-  Micros worst_ = 0;
-  std::string where_;
-  std::vector<std::string> wrongs_;
+  // End of the grace period by server.
+  std::map<std::string, Micros> graceEnds_;
+  std::map<int, Micros> unroutableSince_;
+  Micros longestUnroutable_ = 0;
+  std::string worstSlice_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace peargrade::fakes
--- a/fakes/sockets.h
+++ b/fakes/sockets.h
@@ -1,4 +1,4 @@
-// What fakes share about sockets.
+// Socket functions shared by the fakes.
 #pragma once
 
 #include <event2/util.h>
@@ -6,10 +6,10 @@
 
 namespace peargrade::fakes {
 
-// The next close of this socket is a reset.
+/// Makes the next close of this socket send a TCP reset.
 inline void resetOnClose(evutil_socket_t fd) {
-  const linger now{1, 0};
-  setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  const linger discardAndReset{1, 0};
+  setsockopt(fd, SOL_SOCKET, SO_LINGER, &discardAndReset, sizeof discardAndReset);
 }
 
 }  // namespace peargrade::fakes
--- a/fakes/traffic.h
+++ b/fakes/traffic.h
@@ -1,4 +1,4 @@
-// Exact counts of what a fake has sent or read, by kind of message.
+// Counts of the messages that a fake has sent or received.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,11 @@
 
 namespace peargrade::fakes {
 
+/// Messages and bytes by kind of message.
 struct Traffic {
   struct Count {
-    std::uint64_t messages = 0, bytes = 0;
+    std::uint64_t messages = 0;
+    std::uint64_t bytes = 0;
   };
   std::map<std::string, Count, std::less<>> kinds;
 
@@ -20,6 +22,7 @@
     it->second.messages += messages;
     it->second.bytes += bytes;
   }
+  /// The sum over all kinds.
   Count all() const {
     Count sum;
     for (const auto& [kind, count] : kinds) {
