--- a/tests/support/decision_settings.h
+++ b/tests/support/decision_settings.h
@@ -9,8 +9,8 @@
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kSecond = 1000 * kMillisecond;
 
-/// Times, rules and update channel of a deployment with shared slices. It has no request classes and no
-/// slices yet.
+/// Time limits, rules and update channel of a deployment with shared slices. Request classes and slices are
+/// not set.
 Settings deploymentSettings();
 
 /// deploymentSettings() with 24 slices and three request classes: 0 and 1 are idempotent, 1 has six times the
--- a/tests/support/loop.h
+++ b/tests/support/loop.h
@@ -1,5 +1,4 @@
-// An event loop for tests with sockets, and what such tests need beside it: a listener, a readable log,
-// recorded events.
+// Fixtures for tests with sockets: an event loop, a listening socket, a readable log and recorded events.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,18 +16,18 @@
 
 namespace peargrade {
 
-/// An event loop on the thread of the test.
+/// An event loop that runs on the test's thread.
 struct Loop {
-  /// Ends a test that has failed; no test that passes waits for it.
+  /// Default time limit of until(), in microseconds. Only a failing test reaches it.
   static constexpr Micros kTimeLimit = 20 * 1000000;
-  /// How often a condition is looked at when nothing else happens.
+  /// Interval at which a condition is evaluated while no events arrive, in microseconds.
   static constexpr Micros kCheckInterval = 5000;
 
   net::EventBase base = net::makeBase();
 
-  Loop() { std::signal(SIGPIPE, SIG_IGN); }  // as the program does
+  Loop() { std::signal(SIGPIPE, SIG_IGN); }  // as the program itself does
 
-  /// Runs the loop until the condition holds. False: `limit` microseconds have passed.
+  /// Runs the loop until the condition holds. Returns false if it does not hold within `limit` microseconds.
   bool until(const std::function<bool()>& holds, Micros limit = kTimeLimit) {
     net::Timer tick(base.get(), [] {});
     const Micros end = net::steadyNow() + limit;
@@ -41,12 +40,12 @@
   }
 };
 
-/// Limits something that a test repeats to once per interval.
+/// Limits an action that a test repeats to once per interval, in microseconds.
 struct Pace {
   const Micros every;
   Micros next = 0;
 
-  /// Whether the interval since it was last due has passed.
+  /// Whether the interval since the last due time has passed; if so, starts the next interval.
   bool due() {
     const Micros now = net::steadyNow();
     if (now < next) return false;
@@ -73,7 +72,7 @@
   Listener& operator=(const Listener&) = delete;
 };
 
-/// A log that writes into a pipe, for tests that read its lines.
+/// A log that writes to a pipe, for tests that read its lines.
 struct ReadLog {
   int ends[2] = {-1, -1};
   std::unique_ptr<log::Log> log;
@@ -109,14 +108,14 @@
   }
 };
 
-/// Two zones, two machine types, two request classes.
+/// Names of two zones, two machine types and two request classes.
 inline discovery::Names testNames() { return {{"a", "b"}, {"m1", "m2"}, {"lookup", "order"}}; }
 
-/// The events that a dispatcher has passed on, in their order.
+/// The events received from a dispatcher, in order.
 struct Seen {
   std::vector<Event> events;
 
-  /// Takes the events that wait in the dispatcher.
+  /// Appends the events that are pending in the dispatcher.
   void take(dispatch::Dispatcher& dispatcher) {
     for (Event& event : dispatcher.take()) events.push_back(std::move(event));
   }
--- a/tests/support/parse_checks.h
+++ b/tests/support/parse_checks.h
@@ -1,5 +1,5 @@
-/// Checks that parsers of outside bytes have in common: errors that name the fault, and no other outcome than
-/// a value or a ParseError.
+// Checks shared by the tests of parsers of untrusted input: an error message names the fault, and a parser
+// either returns a value or throws a ParseError.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 namespace peargrade {
 
-/// `parse()` throws a ParseError whose text contains `message`. `input` is shown if it does not.
+/// `parse()` throws a ParseError whose text contains `message`. `input` is printed if the check fails.
 template <class Parse>
 void expectParseError(const Parse& parse, const std::string& message, const std::string& input) {
   try {
@@ -23,14 +23,14 @@
   }
 }
 
-/// How often a parser accepted and rejected random changes of a valid text.
+/// How many random mutations of a valid text a parser accepted and rejected.
 struct MutationOutcome {
   int accepted = 0;
   int rejected = 0;
 };
 
-/// Parses `valid` `rounds` times with up to two bytes replaced at random. Anything but a value or a
-/// ParseError ends the test.
+/// Parses `rounds` mutations of `valid`, each with up to two random bytes replaced. Any exception other than
+/// ParseError fails the test.
 template <class Parse>
 MutationOutcome parseMutations(const std::string& valid, unsigned seed, int rounds, const Parse& parse) {
   std::mt19937 random(seed);
--- a/tests/support/program.h
+++ b/tests/support/program.h
@@ -1,4 +1,4 @@
-// Child processes of a test, their files and their addresses.
+// Child processes of tests, temporary files and loopback addresses.
 #pragma once
 
 #include <fcntl.h>
@@ -18,12 +18,12 @@
 
 namespace peargrade {
 
-/// A child process with its output in a file; killed where it still runs when this is destroyed.
+/// A child process whose output goes to a file. The destructor kills it if it is still running.
 class Program {
  public:
-  /// `command`: path and arguments. `environment`: its whole environment. `outputDescriptor`: takes the
-  /// output in place of the file, where not negative. `descriptorLimit`: limit of open files; 0: that of the
-  /// test.
+  /// `command`: path and arguments. `environment`: the complete environment. `outputDescriptor`: receives the
+  /// output in place of the file, unless negative. `descriptorLimit`: maximum number of open files; 0: the
+  /// limit of the test process.
   explicit Program(const std::vector<std::string>& command, const std::vector<std::string>& environment = {},
                    int outputDescriptor = -1, rlim_t descriptorLimit = 0)
       : outputPath_(testing::TempDir() + "peargrade_out_" + std::to_string(getpid()) + "_" +
@@ -45,7 +45,7 @@
     if (!ended_ && waitpid(pid_, &status_, WNOHANG) == pid_) ended_ = true;
     return ended_;
   }
-  /// Waits for its end. Returns its exit code, or -1 where a signal ended it.
+  /// Waits for the process to exit. Returns its exit code, or -1 if it was killed by a signal.
   int wait() {
     if (!ended_) waitpid(pid_, &status_, 0);
     ended_ = true;
@@ -53,14 +53,14 @@
   }
   void signal(int number) { kill(pid_, number); }
   pid_t pid() const { return pid_; }
-  /// Stops it until SIGCONT. It has stopped when this returns.
+  /// Sends SIGSTOP and waits until the process has stopped. SIGCONT resumes it.
   void stop() {
     kill(pid_, SIGSTOP);
     int status = 0;
     while (waitpid(pid_, &status, WUNTRACED) == pid_ && !WIFSTOPPED(status)) {
     }
   }
-  /// Peak of its resident memory in MiB; -1: unknown.
+  /// Peak resident memory in MiB, or -1 if unknown.
   long peakMemoryMb() const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(in, line);) {
@@ -68,7 +68,7 @@
     }
     return -1;
   }
-  /// Its open files.
+  /// Number of open file descriptors.
   long descriptors() const {
     long count = 0;
     for ([[maybe_unused]] const auto& entry :
@@ -76,13 +76,14 @@
       ++count;
     return count;
   }
+  /// Everything written to the output file so far.
   std::string output() const {
     std::ifstream in(outputPath_);
     return {std::istreambuf_iterator<char>(in), {}};
   }
 
  private:
-  // Pointers to the words and a null, as execve takes them.
+  // A null-terminated array of pointers to the words, for execve.
   static std::vector<char*> pointers(const std::vector<std::string>& words) {
     std::vector<char*> pointers;
     pointers.reserve(words.size() + 1);
@@ -90,7 +91,7 @@
     pointers.push_back(nullptr);
     return pointers;
   }
-  // In the child process.
+  // Runs in the child process.
   [[noreturn]] void execute(const std::vector<std::string>& command,
                             const std::vector<std::string>& environment, int outputDescriptor,
                             rlim_t descriptorLimit) const {
@@ -101,7 +102,7 @@
     dup2(output, STDOUT_FILENO);
     dup2(output, STDERR_FILENO);
     execve(command.front().c_str(), pointers(command).data(), pointers(environment).data());
-    constexpr int kCannotExecute = 127;
+    constexpr int kCannotExecute = 127;  // as a shell reports it
     _exit(kCannotExecute);
   }
 
@@ -112,14 +113,15 @@
   bool ended_ = false;
 };
 
-/// `text` with the first occurrence of `part` replaced; a failed check where there is none.
+/// `text` with the first occurrence of `part` replaced by `other`. The test fails if there is none.
 inline std::string replaced(std::string text, const std::string& part, const std::string& other) {
   const auto at = text.find(part);
   EXPECT_NE(at, std::string::npos) << part;
   return at == std::string::npos ? text : text.replace(at, part.size(), other);
 }
 
-/// A temporary file with a text, removed when this is destroyed. Its name has the process id and `ending`.
+/// A temporary file that contains `text`. The destructor removes it. The file name consists of the process id
+/// and `ending`.
 struct Written {
   std::string path;
 
@@ -132,7 +134,7 @@
   Written& operator=(const Written&) = delete;
 };
 
-/// An address of the loopback range that no other running test uses.
+/// A loopback address derived from the process id, so that tests running in parallel do not share one.
 inline std::string ownHost() {
   const int pid = getpid();
   return "127." + std::to_string(64 + pid / 65536 % 64) + "." + std::to_string(pid / 256 % 256) + "." +
--- a/tests/support/server_list.h
+++ b/tests/support/server_list.h
@@ -1,5 +1,4 @@
-// The endpoint list as the decision engine sees it, put together from the updates that a dispatcher has
-// passed on.
+// The endpoint list that results from the updates received from a dispatcher.
 #pragma once
 
 #include <map>
@@ -8,7 +7,7 @@
 
 namespace peargrade {
 
-/// The state of each listed server after all updates that were seen.
+/// The state of each listed server after all recorded updates.
 inline std::map<ServerId, EndpointState> serverList(const Seen& seen) {
   std::map<ServerId, EndpointState> states;
   for (const EndpointListUpdate& update : seen.all<EndpointListUpdate>()) {
--- a/tests/support/simulated_supervisor.cpp
+++ b/tests/support/simulated_supervisor.cpp
@@ -145,7 +145,7 @@
     std::vector<Event> events{TimerFired{"sweep"}};
     events.insert(events.end(), pendingEvents.begin(), pendingEvents.end());
     pendingEvents.clear();
-    // Every second step: the report interval of testSettings().
+    // Reports arrive at every second step, the report interval of testSettings().
     if (reportsLoad && (now / kStep) % 2 == 0) appendLoadReports(events);
     handle(events);
   }
@@ -157,7 +157,7 @@
   }
 }
 
-// ---- What the engine decided ----
+// ---- Decisions of the engine ----
 
 ServerId SimulatedSupervisor::primaryServer(TableId slice) const {
   ServerId primary;
--- a/tests/support/simulated_supervisor.h
+++ b/tests/support/simulated_supervisor.h
@@ -1,5 +1,5 @@
-// A decision engine with a simulated fleet around it: the store's routes follow its actions, three proxies
-// acknowledge its updates, and load reports come at the interval of the settings.
+// A decision engine with a simulated fleet: its actions are applied to the stored routes, three proxies
+// acknowledge its updates, and load reports arrive at the configured interval.
 #pragma once
 
 #include <cstdint>
@@ -33,25 +33,25 @@
 
   // ---- Start and restart ----
 
-  /// What a supervisor learns at its start: cached and current endpoint list, three proxies, and slices 0 to
-  /// `sliceCount` - 1, stored with one route each, in turn over the servers.
+  /// The events that a supervisor receives at its start: cached and current endpoint list, three proxies, and
+  /// the assignment of slices 0 to `sliceCount` - 1 with one stored route each, round-robin over the servers.
   std::vector<Event> startEvents(int sliceCount);
   void start(int sliceCount) { handle(startEvents(sliceCount)); }
   void startAndRun(int sliceCount, Micros duration);
   /// Starts, runs for 8 s, and then for `duration` with all servers above the latency objective of class 0.
   void startUnderOverload(int sliceCount, Micros duration);
-  /// Replaces the engine by a new one, which knows `cachedList`, the stored routes and the connected proxies
-  /// only.
+  /// Replaces the engine by a new one that receives only `cachedList`, the stored routes and the connected
+  /// proxies.
   void restart(const EndpointListUpdate& cachedList);
 
   // ---- Endpoint list ----
 
   /// The listed endpoints as an update of `kind`.
   EndpointListUpdate endpointList(EndpointListKind kind) const;
-  /// Changes one endpoint of the list and delivers the change. `startedAt` 0: its start time stays.
+  /// Changes one endpoint of the list and delivers the change. `startedAt` 0 keeps its start time.
   std::vector<Action> updateEndpoint(const ServerId& server, EndpointState state, Micros startedAt = 0);
 
-  /// Changes servers `first` to `end` - 1, each with an update of its own.
+  /// Changes servers `first` to `end` - 1, each in a separate update.
   void updateEndpoints(int first, int end, EndpointState state, Micros startedAt = 0);
 
   // ---- Time and events ----
@@ -63,9 +63,9 @@
   /// Appends the load reports of one report interval.
   void appendLoadReports(std::vector<Event>& events);
 
-  // ---- What the engine decided ----
+  // ---- Decisions of the engine ----
 
-  /// The server with the highest weight in a slice's table; empty where the table is.
+  /// The server with the highest weight in a slice's table, or an empty id if the table is empty.
   ServerId primaryServer(TableId slice) const;
   /// Slices whose primary server is `server`.
   int primaryCount(const ServerId& server) const;
@@ -89,9 +89,9 @@
   std::map<ServerId, Endpoint> endpoints;
   /// Listed servers whose health checks fail.
   std::set<ServerId> unreachableServers;
-  /// Requests a second; 10 of class 0 and none of the others where nothing is set.
+  /// Requests per second. Default: 10 for class 0, none for the other classes.
   std::map<TableClass, double> requestRates;
-  /// Mean latency of a server's successful attempts; 100 ms where nothing is set.
+  /// Mean latency of a server's successful attempts. Default: 100 ms.
   std::map<ServerId, Micros> latencies;
   std::map<ServerZone, double> failureRatios;
   /// Latency that the path from a zone to a server adds.
@@ -104,9 +104,9 @@
   // ---- State that follows the engine's actions ----
 
   std::set<TableId> assignedSlices;
-  /// Routes that proxies use.
+  /// Stored routes in use by proxies.
   std::map<TableId, RouteTable> routes;
-  /// Stored routes that proxies do not use while their server is ejected.
+  /// Stored routes that are not in use because their server is ejected.
   std::map<TableId, RouteTable> routesToEjectedServers;
   std::set<ServerId> ejectedServers;
   std::map<TableClass, double> admissionRatios;
@@ -115,7 +115,7 @@
   // ---- Record of the actions ----
 
   std::vector<std::string> logLines;
-  /// When updates and WatchEndpoints came.
+  /// Times of the updates and of the WatchEndpoints actions.
   std::vector<Micros> updateTimes;
   std::vector<Micros> watchTimes;
   int routesSet = 0;
@@ -126,13 +126,13 @@
 
  private:
   void trackAssignments(const std::vector<Event>& events);
-  // Each applies one kind of action to the fleet.
+  // Each overload applies one kind of action to the fleet.
   void apply(const SetRoute& route);
   void apply(const SetEjection& ejection);
   void apply(const SetAdmission& admission);
   void answer(const HealthCheck& check);
   void acknowledge(const AcknowledgementRequest& request);
-  // Moves the routes to a server between those that proxies use and those that they do not.
+  // Moves all routes to `server` from one set of tables to the other.
   void moveRoutes(const ServerId& server, std::map<TableId, RouteTable>& from,
                   std::map<TableId, RouteTable>& to);
   // Appends the reports of all slices and returns the admitted requests by primary server.
