--- a/tests/serve/command_line_test.cpp
+++ b/tests/serve/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The command line: version, help, usage errors, and `check`.
+// Tests of the command line: version, help, usage errors, and the `check` command.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -25,9 +25,9 @@
   for (const char* command : {"serve", "check", "version"}) EXPECT_TRUE(hasWritten(help, command)) << command;
 }
 
-class WrongCommandLine : public testing::TestWithParam<std::vector<std::string>> {};
+class InvalidCommandLine : public testing::TestWithParam<std::vector<std::string>> {};
 
-TEST_P(WrongCommandLine, EndsWithAnErrorThatPointsToHelp) {
+TEST_P(InvalidCommandLine, ExitsWithAnErrorThatRefersToHelp) {
   std::vector<std::string> command{PEARGRADE_PROGRAM};
   command.insert(command.end(), GetParam().begin(), GetParam().end());
   Program program(command);
@@ -35,7 +35,7 @@
   EXPECT_TRUE(hasWritten(program, "--help")) << program.output();
 }
 
-INSTANTIATE_TEST_SUITE_P(Arguments, WrongCommandLine,
+INSTANTIATE_TEST_SUITE_P(Arguments, InvalidCommandLine,
                          testing::Values(std::vector<std::string>{}, std::vector<std::string>{"what"},
                                          std::vector<std::string>{"serve"},
                                          std::vector<std::string>{"serve", "-c", "x", "--log-level", "loud"}),
@@ -43,14 +43,14 @@
 
 // ---- check ----
 
-TEST(CheckCommand, PrintsWhatTheConfigurationMeans) {
+TEST(CheckCommand, PrintsASummaryOfTheConfiguration) {
   Program program({PEARGRADE_PROGRAM, "check", "-c", PEARGRADE_EXAMPLE_CONFIG});
   EXPECT_EQ(program.wait(), 0);
   EXPECT_TRUE(hasWritten(program, "listen     127.0.0.1:3000")) << program.output();
   EXPECT_TRUE(hasWritten(program, "8 slices, 2 zones")) << program.output();
 }
 
-TEST(CheckCommand, OptionsGoBeforeTheEnvironmentAndThatBeforeTheFile) {
+TEST(CheckCommand, OptionsOverrideTheEnvironmentWhichOverridesTheFile) {
   const std::vector<std::string> environment{"NODE_CONFIG=" PEARGRADE_EXAMPLE_CONFIG,
                                              "NODE_LISTEN=127.0.0.5:9"};
   Program fromEnvironment({PEARGRADE_PROGRAM, "check"}, environment);
@@ -74,19 +74,19 @@
   EXPECT_TRUE(hasWritten(program, "sources.merge.step-every")) << program.output();
 }
 
-// ---- Wrong files: the same for both commands that read them ----
+// ---- Invalid files: `check` and `serve` report the same errors ----
 
-class WrongFile : public testing::TestWithParam<const char*> {};
+class InvalidFile : public testing::TestWithParam<const char*> {};
 
-TEST_P(WrongFile, WrongConfigurationIsNamedWithItsField) {
+TEST_P(InvalidFile, InvalidConfigurationIsReportedWithItsField) {
   const WrittenConfig file(replaced(exampleConfig(), "127.0.0.1:8500", "nowhere"));
   Program program({PEARGRADE_PROGRAM, GetParam(), "-c", file.path});
   EXPECT_EQ(program.wait(), 2);
   EXPECT_TRUE(hasWritten(program, "\ndiscovery: 'nowhere' is no address")) << program.output();
 }
 
-// All errors of the operator's file come in one run, before anything listens.
-TEST_P(WrongFile, WrongOperatorFileIsNamedWithLineAndColumn) {
+// All errors of the operator's file are reported in one run, before any socket listens.
+TEST_P(InvalidFile, InvalidOperatorFileIsReportedWithLineAndColumn) {
   const Written file("_operator.kdl", "version 1\nsources {\n  dns { try 400; }\n  roster false\n}\n");
   Program program({PEARGRADE_PROGRAM, GetParam(), "-c", PEARGRADE_EXAMPLE_CONFIG},
                   {"PEARGRADE_OPERATOR=" + file.path});
@@ -97,7 +97,7 @@
   EXPECT_TRUE(hasWritten(program, file.path + ":4:10: sources.roster: found")) << program.output();
 }
 
-INSTANTIATE_TEST_SUITE_P(Commands, WrongFile, testing::Values("check", "serve"),
+INSTANTIATE_TEST_SUITE_P(Commands, InvalidFile, testing::Values("check", "serve"),
                          [](const auto& info) { return std::string(info.param); });
 
 }  // namespace
--- a/tests/serve/configuration_test.cpp
+++ b/tests/serve/configuration_test.cpp
@@ -1,5 +1,5 @@
-// Configuration changes without a restart: SIGHUP takes over addresses and, where the operator allows it,
-// settings.
+// Tests of configuration changes without a restart: SIGHUP applies new addresses and, if the operator's file
+// allows it, new settings.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -16,7 +16,7 @@
 
 class AddressReload : public ServeTest {
  protected:
-  // Writes the configuration file anew and signals the supervisor.
+  // Overwrites the configuration file and signals the supervisor.
   void reload(const std::string& text) {
     std::ofstream(configFile->path) << text;
     program->signal(SIGHUP);
@@ -24,7 +24,7 @@
   void awaitOutput(const std::string& text) {
     ASSERT_TRUE(loop.until([&] { return hasWritten(text); })) << program->output();
   }
-  void expectWrongFilesIgnored(const std::string& good) {
+  void expectInvalidFilesIgnored(const std::string& good) {
     reload(good.substr(0, good.size() / 2));
     ASSERT_NO_FATAL_FAILURE(awaitOutput("new configuration unreadable, keeping the one in force"));
     reload(replaced(good, "\"address\"", "\"adress\""));
@@ -39,12 +39,12 @@
 TEST_F(AddressReload, SighupMovesToOtherPeersAndKeepsClientsAndState) {
   addThreeServers(false);
   const std::string first = config();
-  // The environment names the first address: the file that comes later goes before it.
+  // The environment has the first address: an address from a reloaded file takes precedence over it.
   ASSERT_NO_FATAL_FAILURE(startSupervisor(first, {}, {"NODE_DISCOVERY=" + discovery.address().text()}));
   ASSERT_TRUE(loop.until([this] { return discovery.watching() == 1 && relay.watches == 1; }));
   fakes::Collector collector(loop.base.get(), listenAddress);
   collector.send(R"({"type":"telemetry","az":"east"})");
-  ASSERT_NO_FATAL_FAILURE(expectWrongFilesIgnored(first));
+  ASSERT_NO_FATAL_FAILURE(expectInvalidFilesIgnored(first));
 
   fakes::Relay newRelay{loop.base.get()};
   fakes::Discovery newDiscovery{loop.base.get()};
@@ -69,18 +69,18 @@
   EXPECT_FALSE(collector.ended());
   EXPECT_EQ(newRelay.watches, 1);
   stopSupervisor();
-  EXPECT_FALSE(hasWritten(": gone")) << "nothing that is listed is taken for removed";
+  EXPECT_FALSE(hasWritten(": gone")) << "a listed server was treated as removed";
 }
 
 // ---- Settings ----
 
-// What may be done with a lookup that failed, as the relay writes it.
+// Retry policies of failed lookups, as encoded in the relay protocol.
 constexpr const char* kRetryIfNotExecuted = "1";
 constexpr const char* kRetryAnyFailure = "2";
 
 enum class Lookups { Idempotent, NotIdempotent };
 
-// An operator's file that allows settings to change.
+// Tests with an operator's file that allows settings to be reloaded.
 class SettingsReload : public ServeTest {
  protected:
   std::string versionedConfig(int version, Lookups lookups) const {
@@ -99,7 +99,7 @@
   void awaitBackup() {
     ASSERT_TRUE(loop.until([this] { return relay.slices[0].size() > 1; })) << program->output();
   }
-  // Replaces the configuration file in one step.
+  // Replaces the configuration file atomically.
   void replaceConfig(const std::string& text) {
     const std::string newPath = configFile->path + ".new";
     std::ofstream(newPath) << text;
@@ -109,7 +109,7 @@
     ASSERT_NO_FATAL_FAILURE(replaceConfig(text));
     program->signal(SIGHUP);
   }
-  // The last retry policy for lookups that the relay has accepted.
+  // The retry policy for lookups in the last such update that the relay accepted.
   std::string lookupRetryPolicy() const {
     const std::string lookups = "gate,*,lookup,";
     std::string policy;
@@ -122,24 +122,24 @@
   const Written operatorFile{"_allowed.kdl", "version 1\nconfiguration {\n  settings-reload true\n}\n"};
 };
 
-TEST_F(SettingsReload, CorrectSettingsAreInForceWithoutARestartAndWrongOnesNever) {
+TEST_F(SettingsReload, ValidSettingsTakeEffectWithoutARestartAndInvalidOnesAreRejected) {
   ASSERT_NO_FATAL_FAILURE(start(5));
   ASSERT_NO_FATAL_FAILURE(awaitLookupRetryPolicy(kRetryAnyFailure));
   EXPECT_TRUE(hasWritten("configuration in force: version 5 (content ")) << program->output();
   const std::string good = versionedConfig(6, Lookups::NotIdempotent);
-  const std::pair<std::string, const char*> refused[] = {
+  const std::pair<std::string, const char*> rejected[] = {
       {good.substr(0, good.size() / 2), "rejected (unreadable), keeping version 5 "},
       {versionedConfig(4, Lookups::NotIdempotent), "rejected (stale-version), keeping version 5 "},
       {versionedConfig(5, Lookups::NotIdempotent), "rejected (same-version), keeping version 5 "},
       {replaced(good, "\"shards\": 8", "\"shards\": 9"), "rejected (structure), keeping version 5 "},
       {replaced(good, "\"startCapacity\": 0.2", "\"startCapacity\": 2"),
        "rejected (out-of-range), keeping version 5 "}};
-  for (const auto& [text, line] : refused) {
+  for (const auto& [text, line] : rejected) {
     reload(text);
     const char* expected = line;
     ASSERT_TRUE(loop.until([&] { return hasWritten(expected); })) << expected << program->output();
   }
-  EXPECT_EQ(lookupRetryPolicy(), kRetryAnyFailure) << "the last correct settings are in force";
+  EXPECT_EQ(lookupRetryPolicy(), kRetryAnyFailure) << "the last valid settings stay in effect";
 
   reload(good);
   ASSERT_NO_FATAL_FAILURE(awaitLookupRetryPolicy(kRetryIfNotExecuted));
@@ -150,7 +150,7 @@
   stopSupervisor();
 }
 
-TEST_F(SettingsReload, UpdateThatIsNotDeliveredAfterAChangeGoesAgain) {
+TEST_F(SettingsReload, UndeliveredUpdateAfterAChangeIsSentAgain) {
   ASSERT_NO_FATAL_FAILURE(start(1));
   reload(replaced(versionedConfig(2, Lookups::NotIdempotent), "\"on_request\"", "\"pushed\""));
   ASSERT_NO_FATAL_FAILURE(awaitLookupRetryPolicy(kRetryIfNotExecuted));
@@ -163,7 +163,7 @@
   stopSupervisor();
 }
 
-TEST_F(SettingsReload, LastOfAHundredChangesIsInForceAndNoDrainIsLost) {
+TEST_F(SettingsReload, LastOfAHundredChangesTakesEffectAndNoDrainIsLost) {
   constexpr int kChanges = 100;
   constexpr int kDrainGraceUs = 2000000;
   ASSERT_NO_FATAL_FAILURE(start(0));
@@ -187,11 +187,11 @@
             << " ms, its update delivered after " << (net::steadyNow() - lastChange) / 1000 << " ms\n";
   EXPECT_FALSE(program->ended());
   EXPECT_FALSE(hasWritten("refused"));
-  EXPECT_EQ(relay.watches, 1) << "it has restarted";
+  EXPECT_EQ(relay.watches, 1) << "the supervisor has reconnected";
   stopSupervisor();
 }
 
-TEST_F(SettingsReload, CheckIsAsStrictAsAReloadWhereSettingsMayChange) {
+TEST_F(SettingsReload, CheckValidatesSettingsLikeAReloadIfReloadIsAllowed) {
   const WrittenConfig file(
       replaced(versionedConfig(1, Lookups::Idempotent), "\"startCapacity\": 0.2", "\"startCapacity\": 2"));
   Program strict({PEARGRADE_PROGRAM, "check", "-c", file.path, "--operator", operatorFile.path});
@@ -207,7 +207,7 @@
 class SettingsReloadDuringCall : public SettingsReload,
                                  public testing::WithParamInterface<fakes::Relay::Fault> {};
 
-TEST_P(SettingsReloadDuringCall, LosesNoRouteAndPutsTheNewSettingsInForce) {
+TEST_P(SettingsReloadDuringCall, LosesNoRouteAndAppliesTheNewSettings) {
   ASSERT_NO_FATAL_FAILURE(start(1));
   ASSERT_NO_FATAL_FAILURE(awaitLookupRetryPolicy(kRetryAnyFailure));
   ASSERT_NO_FATAL_FAILURE(awaitBackup());
--- a/tests/serve/example_test.cpp
+++ b/tests/serve/example_test.cpp
@@ -1,4 +1,4 @@
-// The example as its page describes it: demo and supervisor share one configuration file.
+// Tests the documented example: the demo and the supervisor share one configuration file.
 #include <gtest/gtest.h>
 
 #include "serve_fixture.h"
--- a/tests/serve/lifecycle_test.cpp
+++ b/tests/serve/lifecycle_test.cpp
@@ -1,5 +1,5 @@
-// The life of the process: its start with and without its peers, drains that it serves, a flood of
-// connections, and its end.
+// Tests of the process life cycle: start with and without peers, draining servers, a flood of connections,
+// signals and shutdown.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/stat.h>
@@ -24,7 +24,7 @@
     ASSERT_NO_FATAL_FAILURE(startSupervisor(config()));
     ASSERT_TRUE(loop.until([this] { return !relay.calls.empty(); })) << program->output();
   }
-  // Drains s1 and waits for the call to the relay that follows from it.
+  // Drains s1 and waits for the resulting call to the relay.
   void drainAndAwaitCall(fakes::Relay::Fault fault) {
     const std::size_t callsBefore = relay.calls.size();
     relay.faults = {fault};
@@ -39,7 +39,8 @@
 
 // ---- Start ----
 
-// Over HTTP nothing is pushed to a supervisor that has not asked: it has to watch the list all the same.
+// Over HTTP the discovery service sends changes only on a watch, so the supervisor must watch the list in
+// this mode too.
 TEST_F(Lifecycle, PushedEndpointListIsWatched) {
   addThreeServers();
   ASSERT_NO_FATAL_FAILURE(startSupervisor(replaced(config(), "\"on_request\"", "\"pushed\"")));
@@ -58,7 +59,7 @@
     EXPECT_TRUE(hasWritten(connection)) << "no line for" << connection << " in\n" << program->output();
 }
 
-// A restarted supervisor knows its configuration only: it answers whether or not its peers are there.
+// A restarted supervisor has only its configuration and must answer heartbeats without its peers.
 TEST_F(Lifecycle, HeartbeatsAreAnsweredSoonThoughRelayAndDiscoveryAreDown) {
   const net::Address closed{ownHost(), 1};
   const Micros start = net::steadyNow();
@@ -74,7 +75,8 @@
   discovery.mute = true;
   const Micros start = net::steadyNow();
   ASSERT_NO_FATAL_FAILURE(startSupervisor(config()));
-  EXPECT_LT(net::steadyNow() - start, 10000000) << "nine in ten within 10 s, by cause";
+  EXPECT_LT(net::steadyNow() - start, 10000000)
+      << "nine in ten starts must answer within 10 s, for each cause of a restart";
   EXPECT_GE(relay.watches, 1);
   EXPECT_GE(discovery.requests.size(), 1U);
   stopSupervisor();
@@ -104,8 +106,8 @@
 
 // ---- Flood ----
 
-// The smallest limits that are granted, more connections than descriptors, messages that never end, and a log
-// that nobody reads.
+// The smallest permitted limits, more connections than descriptors, messages that never end, and a log whose
+// pipe is not read.
 TEST_F(Lifecycle, FloodOfConnectionsAndAnUnreadLogLeaveItServing) {
   discovery.set("s1", "east", "SERVING");
   int unreadLog[2];
@@ -138,7 +140,7 @@
   }));
   EXPECT_FALSE(program->ended());
   EXPECT_LE(program->descriptors(), 256);
-#ifndef __SANITIZE_ADDRESS__  // it multiplies the memory
+#ifndef __SANITIZE_ADDRESS__  // the address sanitizer multiplies memory use
   EXPECT_LT(program->peakMemoryMb(), 20);
   std::cout << "peak " << program->peakMemoryMb() << " MB, " << program->descriptors() << " descriptors\n";
 #endif
@@ -149,7 +151,7 @@
 
 // ---- Signals ----
 
-// A named pipe as configuration file: the program reads it until the test writes it.
+// A named pipe as configuration file: the program blocks in reading it until the test writes to it.
 class PendingConfig {
  public:
   PendingConfig() { EXPECT_EQ(mkfifo(path.c_str(), 0600), 0); }
@@ -160,9 +162,9 @@
   PendingConfig(const PendingConfig&) = delete;
   PendingConfig& operator=(const PendingConfig&) = delete;
 
-  /// Returns when the program has opened the file.
+  /// Blocks until the program has opened the file.
   void awaitOpen() { descriptor_ = open(path.c_str(), O_WRONLY); }
-  /// Ends the wait. A reload finds the text in an ordinary file.
+  /// Writes the text and unblocks the program. A later reload reads the text from a regular file.
   void write(const std::string& text) {
     std::remove(path.c_str());
     std::ofstream(path) << text;
@@ -178,7 +180,7 @@
 
 class SignalsDuringConfiguration : public Lifecycle, public testing::WithParamInterface<std::vector<int>> {};
 
-TEST_P(SignalsDuringConfiguration, AreServedOnceTheConfigurationIsRead) {
+TEST_P(SignalsDuringConfiguration, AreHandledOnceTheConfigurationIsRead) {
   PendingConfig pending;
   Program supervisor({PEARGRADE_PROGRAM, "serve", "-c", pending.path});
   pending.awaitOpen();
@@ -199,7 +201,7 @@
                            return name;
                          });
 
-// SIGUSR1 asks for an explanation that only some configurations have.
+// SIGUSR1 requests an explanation of the merged sources, which exists in some configurations only.
 TEST_F(Lifecycle, Sigusr1LeavesASupervisorWithNothingToExplainRunning) {
   ASSERT_NO_FATAL_FAILURE(startSupervisor(config()));
   program->signal(SIGUSR1);
@@ -213,7 +215,7 @@
   ASSERT_NO_FATAL_FAILURE(drainAndAwaitCall(fakes::Relay::Fault::Held));
   program->signal(SIGTERM);
   ASSERT_TRUE(loop.until([this] { return hasWritten("supervisor: ending"); })) << program->output();
-  EXPECT_FALSE(program->ended()) << "it waits for the answer";
+  EXPECT_FALSE(program->ended()) << "the process must wait for the answer";
   relay.answerHeld();
   ASSERT_TRUE(loop.until([this] { return program->ended(); }));
   EXPECT_EQ(program->wait(), 0);
@@ -221,7 +223,8 @@
   EXPECT_TRUE(hasWritten(" 0 undelivered,")) << program->output();
 }
 
-// The wait for the call in flight has a bound, long before a process manager would kill the process.
+// The wait for the call in flight is limited to far less than the time after which a process manager kills
+// it.
 TEST_F(Lifecycle, SigtermDoesNotWaitLongForARelayThatDoesNotAnswer) {
   ASSERT_NO_FATAL_FAILURE(startAndAwaitFirstCall());
   ASSERT_NO_FATAL_FAILURE(drainAndAwaitCall(fakes::Relay::Fault::Silent));
@@ -231,14 +234,16 @@
   EXPECT_EQ(program->wait(), 0) << program->output();
 }
 
-// The stopped process gets the drain and SIGTERM in the same turn: the update of that turn still goes out.
-TEST_F(Lifecycle, DrainThatComesWithSigtermIsServed) {
+// The stopped process receives the drain and SIGTERM in the same turn of its event loop; the resulting update
+// must still be sent.
+TEST_F(Lifecycle, DrainReceivedTogetherWithSigtermIsServed) {
   addThreeServers();
   ASSERT_NO_FATAL_FAILURE(startSupervisor(config()));
   ASSERT_TRUE(loop.until([this] { return relay.slices[0].size() > 1; })) << "no backup was set";
   program->stop();
   discovery.set("s1", "east", "DRAINING");
-  for (int turn = 0; turn < 20; ++turn) event_base_loop(loop.base.get(), EVLOOP_NONBLOCK);  // sends it
+  for (int turn = 0; turn < 20; ++turn)
+    event_base_loop(loop.base.get(), EVLOOP_NONBLOCK);  // sends the change
   program->signal(SIGTERM);
   program->signal(SIGCONT);
   ASSERT_TRUE(loop.until([this] { return program->ended(); }));
--- a/tests/serve/start_test.cpp
+++ b/tests/serve/start_test.cpp
@@ -1,5 +1,4 @@
-// The start of the process, seen from outside. By hand with --gtest_repeat=500 for the distribution of its
-// time.
+// Tests the start of the process. Run it with --gtest_repeat=500 to get the distribution of the start time.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -11,11 +10,11 @@
 namespace peargrade {
 namespace {
 
-/// A restarted supervisor has to answer within this time.
-constexpr Micros kReadyWithin = 10000000;
+/// A restarted supervisor must answer within this time, in microseconds.
+constexpr Micros kReadyLimit = 10000000;
 constexpr Micros kMillisecond = 1000;
 
-/// Threads of a process, as the kernel counts them; 0: not found.
+/// Number of threads of a process, or 0 if the process is not found.
 int threadCount(pid_t process) {
   std::ifstream status("/proc/" + std::to_string(process) + "/status");
   const std::string key = "Threads:";
@@ -25,14 +24,14 @@
   return 0;
 }
 
-// Without an operator's file nothing in the process may wait for another thread, at its start or later.
+// Without an operator's file the process has a single thread, which therefore never waits for another one.
 TEST_F(ServeTest, ProcessIsReadyInTimeAndHasOneThread) {
   addThreeServers();
   const Micros startedAt = net::steadyNow();
   startSupervisor(config());
   const Micros readyAfter = net::steadyNow() - startedAt;
   std::cout << "ready after " << readyAfter / kMillisecond << " ms\n";
-  EXPECT_LT(readyAfter, kReadyWithin);
+  EXPECT_LT(readyAfter, kReadyLimit);
   EXPECT_EQ(threadCount(program->pid()), 1);
   stopSupervisor();
 }
