--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -1,6 +1,6 @@
-// How a supervisor's time grows with the servers on its list, without sockets: a decision of the module, and
-// a second of reports read and taken in. Google Benchmark fits both to the number of servers; that ratio is
-// the figure, the times are this machine's.
+// Benchmarks how the time of a supervisor grows with the number of listed servers, without sockets: one
+// decision of the decision engine, and parsing and handling the load reports of one second. Google Benchmark
+// fits the complexity of both in the number of servers; absolute times depend on the machine.
 #include <benchmark/benchmark.h>
 
 #include "clients/messages.h"
@@ -10,24 +10,27 @@
 namespace peargrade::scale {
 namespace {
 
-constexpr int kZones = 6, kProxies = 300;
+constexpr int kZones = 6;
+constexpr int kProxies = 300;
 constexpr Micros kSecond = 1000000;
 
-// A supervisor with its list, its proxies and its slices.
-struct World {
+// A supervisor with its endpoint list, proxies and slices.
+struct SupervisorFixture {
   Scenario scenario;
   config::Config config;
   std::unique_ptr<DecisionEngine> engine;
   Micros now = 1000 * kSecond;
-  std::vector<std::string> reports;  // of one second
+  std::vector<std::string> reports;  // messages received in one second
 
-  explicit World(int servers) {
+  explicit SupervisorFixture(int servers) {
     scenario.sizes.servers = servers;
     scenario.sizes.zones = kZones;
     scenario.sizes.proxies = kProxies;
-    const net::Address local{"127.0.0.1", 1}, other{"127.0.0.1", 2}, third{"127.0.0.1", 3};
-    config =
-        config::parse(configText(scenario, 0, local, other, third), [](const char*) { return std::nullopt; });
+    const net::Address listen{"127.0.0.1", 1};
+    const net::Address second{"127.0.0.1", 2};
+    const net::Address third{"127.0.0.1", 3};
+    config = config::parse(configText(scenario, 0, listen, second, third),
+                           [](const char*) { return std::nullopt; });
     engine = std::make_unique<DecisionEngine>(1, config.settings);
     EndpointListUpdate list;
     list.version = 1;
@@ -38,7 +41,8 @@
       list.endpoints.push_back(entry);
     }
     std::vector<Event> events{list};
-    for (int p = 0; p < kProxies; ++p) events.push_back(ProxyConnected{p, p % kZones, 1, false});
+    for (int proxy = 0; proxy < kProxies; ++proxy)
+      events.push_back(ProxyConnected{proxy, proxy % kZones, 1, false});
     for (int k = 0; k < scenario.sizes.slices; ++k) {
       events.push_back(SliceAssignment{k, true});
       events.push_back(StoredRoute{k, serverName(scenario, initialServerOf(scenario, 0, k)), 1});
@@ -50,7 +54,7 @@
                           serverName(scenario, k) + R"(","n":5,"bad":0,"avg":90.5,"window":1000.0})");
     }
   }
-  void report() {
+  void handleReports() {
     std::vector<Event> events;
     for (const std::string& text : reports)
       events.push_back(
@@ -65,19 +69,19 @@
 };
 
 void secondOfReports(benchmark::State& state) {
-  World world(static_cast<int>(state.range(0)));
-  for (auto _ : state) world.report();
+  SupervisorFixture fixture(static_cast<int>(state.range(0)));
+  for (auto _ : state) fixture.handleReports();
   state.SetComplexityN(state.range(0));
 }
 
 void decision(benchmark::State& state) {
-  World world(static_cast<int>(state.range(0)));
-  world.report();
+  SupervisorFixture fixture(static_cast<int>(state.range(0)));
+  fixture.handleReports();
   for (auto _ : state) {
     state.PauseTiming();
-    world.report();
+    fixture.handleReports();
     state.ResumeTiming();
-    world.decide();
+    fixture.decide();
   }
   state.SetComplexityN(state.range(0));
 }
--- a/bench/turn_bench.cpp
+++ b/bench/turn_bench.cpp
@@ -1,5 +1,6 @@
-// Time of a turn of the decision engine at fleet size, and its memory: a start, steady sweeps with load
-// reports, a tenth of the servers draining at once, and all servers overloaded.
+// Measures the time per call and the memory of the decision engine at fleet size in four phases: start,
+// steady sweeps with load reports, a tenth of the servers draining at the same time, and all servers
+// overloaded.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 
 constexpr Micros kStep = 250 * kMillisecond;
 
-// Times of the turns of one phase, in milliseconds.
+// Times of the engine calls of one phase, in milliseconds.
 class TurnTimes {
  public:
   void measure(SimulatedSupervisor& supervisor, const std::vector<Event>& events) {
@@ -42,7 +43,7 @@
   int assignedSlices;
 };
 
-Settings settingsOf(const FleetSize& size) {
+Settings makeSettings(const FleetSize& size) {
   Settings settings = testSettings();
   settings.slices = size.slices;
   settings.proxies = size.proxies;
@@ -86,7 +87,7 @@
 void measureFleet(const FleetSize& size) {
   std::printf("%d servers, %d proxies, %d of %d slices\n", size.servers, size.proxies, size.assignedSlices,
               size.slices);
-  SimulatedSupervisor supervisor(settingsOf(size), size.servers);
+  SimulatedSupervisor supervisor(makeSettings(size), size.servers);
   const TurnTimes start = measureStart(supervisor, size);
   TurnTimes steady;
   measureSweeps(supervisor, size, 15 * kSecond, steady);
