--- a/bench/follow_bench.cpp
+++ b/bench/follow_bench.cpp
@@ -1,6 +1,6 @@
-// The whole supervisor against fakes on loopback: how soon a changed record is an order at the relay, how
-// long the worst bucket is bare under each fault beside the single source of before, and what memory 5,000
-// servers take. Prints tables for docs/results.md.
+// Measures the complete supervisor with fakes on loopback: the time from a changed DNS record to the update
+// at the relay, the longest time for which a slice is unroutable under each fault compared with the roster as
+// only source, and the memory needed for 5,000 servers. Prints tables for docs/results.md.
 #include <CLI/CLI.hpp>
 #include <chrono>
 #include <iomanip>
@@ -24,14 +24,17 @@
 
 enum class Mode { RosterOnly, Both, RecordsOnly };
 
-struct World {
+// A supervisor process with its fake peers.
+struct Deployment {
   Loop loop;
   fakes::Relay relay{loop.base.get()};
   fakes::Discovery discovery{loop.base.get()};
-  fakes::NameServer one{loop.base.get()}, two{loop.base.get()};
+  fakes::NameServer firstNameServer{loop.base.get()};
+  fakes::NameServer secondNameServer{loop.base.get()};
   fakes::SliceCoverage coverage{relay, net::steadyNow};
   net::Address listen{ownHost(), 3000};
-  std::unique_ptr<Written> config, operatorFile;
+  std::unique_ptr<Written> config;
+  std::unique_ptr<Written> operatorFile;
   std::unique_ptr<Program> program;
   std::unique_ptr<fakes::Collector> collector;
   Mode mode;
@@ -40,7 +43,7 @@
       " try \"100ms\"\n tries 4\n tcp \"300ms\"\n ttl-floor \"200ms\"\n failure-hold \"200ms\"\n";
   std::string services;
 
-  World(Mode mode, std::uint32_t ttl) : mode(mode), ttl(ttl) {}
+  Deployment(Mode mode, std::uint32_t ttl) : mode(mode), ttl(ttl) {}
 
   static std::string host(int k) { return "bello-" + std::to_string(k) + ".example.org"; }
   static std::string ip(int k) { return "10.1." + std::to_string(k / 250) + "." + std::to_string(k % 250); }
@@ -49,14 +52,14 @@
   }
   static std::string service(int number) { return "_o" + std::to_string(number) + "._tcp.example.org"; }
 
-  void record(int k, int number = 0) {
-    for (auto* names : {&one, &two}) {
+  void addRecord(int k, int number = 0) {
+    for (auto* names : {&firstNameServer, &secondNameServer}) {
       names->srv(service(number), host(k), 3000, 0, 10, ttl);
       names->names[host(k)] = {{1, ip(k), 0, 0, 0, ttl}};
     }
   }
-  void unrecord(int k) {
-    for (auto* names : {&one, &two}) {
+  void removeRecord(int k) {
+    for (auto* names : {&firstNameServer, &secondNameServer}) {
       auto& all = names->names[service(0)];
       all.erase(std::remove_if(all.begin(), all.end(), [&](const auto& d) { return d.value == host(k); }),
                 all.end());
@@ -66,7 +69,7 @@
     relay.proxies[0] = {"east", 5, true};
     for (int slice = 0; slice < 8; ++slice) relay.slices[slice] = {{id(slice % kServers), "1"}};
     for (int k = 0; k < servers; ++k) {
-      if (mode != Mode::RosterOnly) record(k, k / perService);
+      if (mode != Mode::RosterOnly) addRecord(k, k / perService);
       if (mode != Mode::RecordsOnly) discovery.set(id(k), "east", "SERVING", 0, ip(k) + ":3000");
       coverage.runs(id(k));
     }
@@ -84,8 +87,9 @@
       operatorFile = std::make_unique<Written>(
           "_bench.kdl", std::string("version 1\nsources {\n roster ") +
                             (mode == Mode::RecordsOnly ? "false" : "true") + "\n dns {\n server \"" +
-                            one.address().text() + "\"\n server \"" + two.address().text() + "\"\n" + dns +
-                            " }\n" + services + " merge {\n flap-turns 100\n }\n}\n");
+                            firstNameServer.address().text() + "\"\n server \"" +
+                            secondNameServer.address().text() + "\"\n" + dns + " }\n" + services +
+                            " merge {\n flap-turns 100\n }\n}\n");
       words.insert(words.end(), {"--operator", operatorFile->path});
     }
     const Micros from = net::steadyNow();
@@ -116,17 +120,17 @@
     }
     return false;
   }
-  bool said(const std::string& part) const { return program->output().find(part) != std::string::npos; }
+  bool hasLogged(const std::string& part) const { return program->output().find(part) != std::string::npos; }
 };
 
-void fail(World& w, const std::string& fault) {
-  if (fault == "first name server silent") w.one.fail(Fault::Silent);
-  if (fault == "first name server SERVFAIL") w.one.fail(Fault::ServFail);
+void fail(Deployment& deployment, const std::string& fault) {
+  if (fault == "first name server silent") deployment.firstNameServer.fail(Fault::Silent);
+  if (fault == "first name server SERVFAIL") deployment.firstNameServer.fail(Fault::ServFail);
   if (fault == "truncated, TCP good") {
-    w.one.fail(Fault::Truncated, Over::Udp);
-    w.two.fail(Fault::Truncated, Over::Udp);
+    deployment.firstNameServer.fail(Fault::Truncated, Over::Udp);
+    deployment.secondNameServer.fail(Fault::Truncated, Over::Udp);
   }
-  for (auto* names : {&w.one, &w.two}) {
+  for (auto* names : {&deployment.firstNameServer, &deployment.secondNameServer}) {
     if (fault == "truncated, no TCP") {
       names->fail(Fault::Truncated, Over::Udp);
       names->fail(Fault::Reset, Over::Tcp);
@@ -137,8 +141,8 @@
   }
 }
 
-// Milliseconds, or a dash where it did not come within the limit.
-std::string ms(Micros span) { return span < 0 ? "-" : std::to_string(span / 1000); }
+// Formats microseconds as milliseconds, or as a dash if the limit was exceeded (negative).
+std::string formatMs(Micros span) { return span < 0 ? "-" : std::to_string(span / 1000); }
 
 void following() {
   constexpr int kTrials = 5;
@@ -146,56 +150,60 @@
   for (const std::uint32_t ttl : {0u, 1u, 3u}) {
     for (const std::string fault :
          {"none", "first name server silent", "first name server SERVFAIL", "truncated, TCP good"}) {
-      std::vector<Micros> took;
+      std::vector<Micros> times;
       for (int trial = 0; trial < kTrials; ++trial) {
-        World w(Mode::RecordsOnly, ttl);
-        w.start(kServers, 900);
-        fail(w, fault);
-        // Any part of the lifetime may have passed when the record changes.
-        w.until(kSecond + trial * ttl * kSecond / kTrials + 37000, [] { return false; });
-        w.unrecord(1);
+        Deployment deployment(Mode::RecordsOnly, ttl);
+        deployment.start(kServers, 900);
+        fail(deployment, fault);
+        // The trials change the record at different ages of the cached answer.
+        deployment.until(kSecond + trial * ttl * kSecond / kTrials + 37000, [] { return false; });
+        deployment.removeRecord(1);
         const Micros from = net::steadyNow();
-        // It is nobody's home any more; a small line to it as a standby goes with the next orders.
+        // The server is no longer primary of any slice; a backup route of small weight may remain until the
+        // next update.
         const auto moved = [&] {
-          for (const auto& [slice, lines] : w.relay.slices) {
-            const auto line = lines.find(w.id(1));
+          for (const auto& [slice, lines] : deployment.relay.slices) {
+            const auto line = lines.find(deployment.id(1));
             if (line != lines.end() && std::atof(line->second.c_str()) >= 1) return false;
           }
           return true;
         };
-        if (w.until(20 * kSecond, moved)) took.push_back(net::steadyNow() - from);
+        if (deployment.until(20 * kSecond, moved)) times.push_back(net::steadyNow() - from);
       }
-      std::sort(took.begin(), took.end());
+      std::sort(times.begin(), times.end());
       std::cout << "| " << (ttl == 0 ? "0 (floor 200 ms)" : std::to_string(ttl) + " s") << " | " << fault
-                << " | " << (took.empty() ? "-" : ms(took[took.size() / 2])) << " | "
-                << (took.empty() ? "-" : ms(took.back())) << " | " << took.size() << " |\n"
+                << " | " << (times.empty() ? "-" : formatMs(times[times.size() / 2])) << " | "
+                << (times.empty() ? "-" : formatMs(times.back())) << " | " << times.size() << " |\n"
                 << std::flush;
     }
   }
 }
 
-// One server dies; every source that can be heard tells so. How long is its bucket bare?
-Micros bareAfterDeath(Mode mode, const std::string& fault, bool& wrong) {
+// One server fails, and every reachable source reports that. Returns the longest time for which a slice was
+// unroutable, or -1 if its routes were not moved within the limit. Sets `violated` if a rule of the slice
+// coverage was violated or the program ended.
+Micros unroutableAfterFailure(Mode mode, const std::string& fault, bool& violated) {
   constexpr Micros kLimit = 10 * kSecond;
-  World w(mode, 1);
-  w.start(kServers, 900);
-  w.until(2 * kSecond, [] { return false; });
-  if (mode != Mode::RosterOnly) fail(w, fault);
-  w.until(2 * kSecond, [] { return false; });
+  Deployment deployment(mode, 1);
+  deployment.start(kServers, 900);
+  deployment.until(2 * kSecond, [] { return false; });
+  if (mode != Mode::RosterOnly) fail(deployment, fault);
+  deployment.until(2 * kSecond, [] { return false; });
   if (fault == "half the zone lost") {
-    for (int k = 3; k < kServers; ++k) w.unrecord(k);
-    w.until(2 * kSecond, [] { return false; });
+    for (int k = 3; k < kServers; ++k) deployment.removeRecord(k);
+    deployment.until(2 * kSecond, [] { return false; });
   }
-  w.coverage.leaves(w.id(0), kLimit);
-  if (mode != Mode::RecordsOnly) w.discovery.set(w.id(0), "east", "DELETED", 0, World::ip(0) + ":3000");
-  if (mode != Mode::RosterOnly) w.unrecord(0);
-  const bool moved = w.until(kLimit, [&] { return !w.used(w.id(0)); });
-  // Where nobody could tell of the death, that a line stood is no broken rule.
-  wrong = (moved && !w.coverage.wrongs().empty()) || w.program->ended();
-  return moved ? w.coverage.worst() : -1;
+  deployment.coverage.leaves(deployment.id(0), kLimit);
+  if (mode != Mode::RecordsOnly)
+    deployment.discovery.set(deployment.id(0), "east", "DELETED", 0, Deployment::ip(0) + ":3000");
+  if (mode != Mode::RosterOnly) deployment.removeRecord(0);
+  const bool moved = deployment.until(kLimit, [&] { return !deployment.used(deployment.id(0)); });
+  // If no source could report the failure, a remaining route is not a violation.
+  violated = (moved && !deployment.coverage.wrongs().empty()) || deployment.program->ended();
+  return moved ? deployment.coverage.worst() : -1;
 }
 
-void bare() {
+void unroutable() {
   std::cout << "| fault of the name servers | roster alone (before) ms | roster and records ms | records "
                "alone ms |\n"
                "| --- | --- | --- | --- |\n";
@@ -204,9 +212,9 @@
         "truncated, no TCP", "all silent", "all SERVFAIL", "poison", "half the zone lost"}) {
     std::cout << "| " << fault;
     for (const Mode mode : {Mode::RosterOnly, Mode::Both, Mode::RecordsOnly}) {
-      bool wrong = false;
-      const Micros worst = bareAfterDeath(mode, fault, wrong);
-      std::cout << " | " << (worst < 0 ? "not within 10 s" : ms(worst)) << (wrong ? " RULE" : "")
+      bool violated = false;
+      const Micros worst = unroutableAfterFailure(mode, fault, violated);
+      std::cout << " | " << (worst < 0 ? "not within 10 s" : formatMs(worst)) << (violated ? " RULE" : "")
                 << std::flush;
     }
     std::cout << " |\n" << std::flush;
@@ -217,19 +225,20 @@
   std::cout << "| servers | sources | ready after ms | all listed after ms | peak MB |\n| --- | --- | --- | "
                "--- | --- |\n";
   for (const Mode mode : {Mode::RosterOnly, Mode::Both, Mode::RecordsOnly}) {
-    World w(mode, 60);
+    Deployment deployment(mode, 60);
     const Micros from = net::steadyNow();
-    w.start(servers, 800);
+    deployment.start(servers, 800);
     const int services = (servers + 799) / 800;
-    const bool all = mode == Mode::RosterOnly || w.until(30 * kSecond, [&] {
-      return w.said("srv o" + std::to_string(services - 1) + ": complete");
+    const bool all = mode == Mode::RosterOnly || deployment.until(30 * kSecond, [&] {
+      return deployment.hasLogged("srv o" + std::to_string(services - 1) + ": complete");
     });
     std::cout << "| " << servers << " | "
               << (mode == Mode::RosterOnly ? "roster alone"
                   : mode == Mode::Both     ? "roster and records"
                                            : "records alone")
-              << " | " << ms(w.readyAfter) << " | " << (all ? ms(net::steadyNow() - from) : "-") << " | "
-              << w.program->peakMemoryMb() << " |\n"
+              << " | " << formatMs(deployment.readyAfter) << " | "
+              << (all ? formatMs(net::steadyNow() - from) : "-") << " | "
+              << deployment.program->peakMemoryMb() << " |\n"
               << std::flush;
   }
 }
@@ -238,13 +247,15 @@
 }  // namespace peargrade
 
 int main(int argc, char** argv) {
-  CLI::App app("measurements of the sources of servers, on fakes");
+  CLI::App app("Measures the sources of servers with fake peers");
   app.require_subcommand(1);
   int servers = 5000;
-  app.add_subcommand("following", "from a changed record to the order")->callback(peargrade::following);
-  app.add_subcommand("bare", "how long the worst bucket is bare, by fault")->callback(peargrade::bare);
-  CLI::App* memory = app.add_subcommand("memory", "resident memory and time to list all");
-  memory->add_option("--servers", servers, "how many")->capture_default_str();
+  app.add_subcommand("following", "time from a changed record to the update at the relay")
+      ->callback(peargrade::following);
+  app.add_subcommand("bare", "longest time for which a slice is unroutable, by fault")
+      ->callback(peargrade::unroutable);
+  CLI::App* memory = app.add_subcommand("memory", "resident memory and time until all servers are listed");
+  memory->add_option("--servers", servers, "number of servers")->capture_default_str();
   memory->callback([&] { peargrade::memory(servers); });
   CLI11_PARSE(app, argc, argv);
   return 0;
--- a/bench/merge_bench.cpp
+++ b/bench/merge_bench.cpp
@@ -1,4 +1,4 @@
-// How the work of src/membership grows with the number of servers.
+// Benchmarks how the time of src/membership grows with the number of servers.
 #include <benchmark/benchmark.h>
 
 #include "membership/membership.h"
@@ -8,83 +8,83 @@
 
 constexpr Micros kSecond = 1000000;
 
-std::string at(std::int64_t k) {
+std::string serverAddress(std::int64_t k) {
   return "10." + std::to_string(k / 65536) + "." + std::to_string(k / 256 % 256) + "." +
          std::to_string(k % 256) + ":3000";
 }
 
-Observation answer(std::int64_t servers, Micros now) {
-  Observation o;
-  o.kind = Observation::Kind::Complete;
-  o.asOf = now;
+Observation completeAnswer(std::int64_t servers, Micros now) {
+  Observation observation;
+  observation.kind = Observation::Kind::Complete;
+  observation.asOf = now;
   for (std::int64_t k = 0; k < servers; ++k) {
-    ServiceRecord s;
-    s.address = at(k);
-    s.target = "host-" + std::to_string(k) + ".example.org";
-    s.weight = 10;
-    s.expiresAt = now + 60 * kSecond;
-    o.records.push_back(std::move(s));
+    ServiceRecord record;
+    record.address = serverAddress(k);
+    record.target = "host-" + std::to_string(k) + ".example.org";
+    record.weight = 10;
+    record.expiresAt = now + 60 * kSecond;
+    observation.records.push_back(std::move(record));
   }
-  return o;
+  return observation;
 }
 
-std::vector<RosterEntry> rosterOf(std::int64_t servers) {
+std::vector<RosterEntry> makeRoster(std::int64_t servers) {
   std::vector<RosterEntry> all;
   for (std::int64_t k = 0; k < servers; ++k) {
-    RosterEntry e;
-    e.endpoint.server = "s-" + std::to_string(k);
-    e.address = at(k);
-    all.push_back(std::move(e));
+    RosterEntry entry;
+    entry.endpoint.server = "s-" + std::to_string(k);
+    entry.address = serverAddress(k);
+    all.push_back(std::move(entry));
   }
   return all;
 }
 
-// A whole list of both sources into an empty membership.
+// Applies the complete lists of both sources to an empty membership.
 void Start(benchmark::State& state) {
-  const auto roster = rosterOf(state.range(0));
-  const Observation o = answer(state.range(0), 1000 * kSecond);
+  const auto roster = makeRoster(state.range(0));
+  const Observation observation = completeAnswer(state.range(0), 1000 * kSecond);
   for (auto _ : state) {
-    Membership m(Settings{}, {false}, true, {}, 1000 * kSecond);
-    m.applyRoster(EndpointListKind::Full, roster, 1000 * kSecond);
-    m.applyRecords(o, 1000 * kSecond);
-    benchmark::DoNotOptimize(m.reconcile(1000 * kSecond));
+    Membership membership(Settings{}, {false}, true, {}, 1000 * kSecond);
+    membership.applyRoster(EndpointListKind::Full, roster, 1000 * kSecond);
+    membership.applyRecords(observation, 1000 * kSecond);
+    benchmark::DoNotOptimize(membership.reconcile(1000 * kSecond));
   }
   state.SetComplexityN(state.range(0));
 }
 BENCHMARK(Start)->Arg(1000)->Arg(5000)->Arg(20000)->Unit(benchmark::kMillisecond)->Complexity();
 
-// A complete answer that says the same again: what every refresh costs.
+// Applies a complete answer without changes, as each refresh does.
 void Refresh(benchmark::State& state) {
   Micros now = 1000 * kSecond;
-  Membership m(Settings{}, {false}, false, {}, now);
-  m.applyRecords(answer(state.range(0), now), now);
-  m.reconcile(now);
+  Membership membership(Settings{}, {false}, false, {}, now);
+  membership.applyRecords(completeAnswer(state.range(0), now), now);
+  membership.reconcile(now);
   for (auto _ : state) {
     state.PauseTiming();
     now += kSecond;
-    const Observation o = answer(state.range(0), now);
+    const Observation observation = completeAnswer(state.range(0), now);
     state.ResumeTiming();
-    m.applyRecords(o, now);
-    benchmark::DoNotOptimize(m.reconcile(now));
+    membership.applyRecords(observation, now);
+    benchmark::DoNotOptimize(membership.reconcile(now));
   }
   state.SetComplexityN(state.range(0));
 }
 BENCHMARK(Refresh)->Arg(1000)->Arg(5000)->Arg(20000)->Unit(benchmark::kMillisecond)->Complexity();
 
-// One server of the roster starts to drain and is back.
+// One server of the roster changes between ready and draining.
 void OneDrain(benchmark::State& state) {
   Micros now = 1000 * kSecond;
-  Membership m(Settings{}, {false}, true, {}, now);
-  auto roster = rosterOf(state.range(0));
-  m.applyRoster(EndpointListKind::Full, roster, now);
-  m.applyRecords(answer(state.range(0), now), now);
-  m.reconcile(now);
-  RosterEntry one = roster[roster.size() / 2];
+  Membership membership(Settings{}, {false}, true, {}, now);
+  auto roster = makeRoster(state.range(0));
+  membership.applyRoster(EndpointListKind::Full, roster, now);
+  membership.applyRecords(completeAnswer(state.range(0), now), now);
+  membership.reconcile(now);
+  RosterEntry drained = roster[roster.size() / 2];
   for (auto _ : state) {
-    one.endpoint.state =
-        one.endpoint.state == EndpointState::Ready ? EndpointState::Draining : EndpointState::Ready;
-    m.applyRoster(EndpointListKind::Delta, {one}, ++now);
-    benchmark::DoNotOptimize(m.reconcile(now));
+    drained.endpoint.state =
+        drained.endpoint.state == EndpointState::Ready ? EndpointState::Draining : EndpointState::Ready;
+    membership.applyRoster(EndpointListKind::Delta, {drained}, ++now);
+    benchmark::DoNotOptimize(membership.reconcile(now));
   }
   state.SetComplexityN(state.range(0));
 }
--- a/bench/pick_bench.cpp
+++ b/bench/pick_bench.cpp
@@ -1,11 +1,11 @@
-// What is added to a request: the time that a proxy takes to pick a server from the tables that supervisors
-// order. Proxies belong to the platform and are no part of this repository, so the pick measured here is a
-// small REFERENCE PICK: the table of a route is drawn from twice by weight (prefix sums, binary search) and
-// the drawn server with fewer outstanding requests is taken ("power of two choices", weighted).
+// Benchmarks the latency added to a request: the time in which a proxy picks a server from the published
+// routing tables. Proxies belong to the platform and are not part of this repository, so a small REFERENCE
+// PICK is measured: two servers are drawn from the table of a route by weight (prefix sums, binary search),
+// and the one with fewer outstanding requests is used (weighted "power of two choices").
 //
-// Each repetition times batches of picks one by one and gives percentiles over the batches, in nanoseconds a
-// pick; a second pass times single picks, clock included, as an upper bound of the tail that a batch averages
-// away. Results are appended as JSON lines in the form that scale/report reads.
+// Each repetition times batches of picks and reports percentiles over the batches, in nanoseconds per pick. A
+// second pass times single picks, including the clock, as an upper bound of the tail latency that batches
+// average out. Results are appended as JSON lines in the format read by scale/report.
 #include <benchmark/benchmark.h>
 #include <sys/sysinfo.h>
 
@@ -24,18 +24,18 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr int kBatchPicks = 16;       // picks between two readings of the clock
-constexpr int kBatches = 200000;      // timed batches of a repetition
-constexpr int kSinglePicks = 400000;  // picks timed one by one, clock included
-constexpr int kKeys = 1 << 16;        // routes asked for are drawn beforehand, not within the measured time
-constexpr int kRepetitions = 3;       // of each size
-constexpr std::uint64_t kSeed = 7;    // of tables, routes and draws
-constexpr std::uint32_t kBusyMost = 64;  // a server has 0 to 63 requests outstanding
+constexpr int kBatchPicks = 16;                  // picks between two readings of the clock
+constexpr int kBatches = 200000;                 // timed batches per repetition
+constexpr int kSinglePicks = 400000;             // picks timed individually, including the clock
+constexpr int kKeys = 1 << 16;                   // requested routes, drawn before the measured time
+constexpr int kRepetitions = 3;                  // per table size
+constexpr std::uint64_t kSeed = 7;               // for tables, routes and draws
+constexpr std::uint32_t kOutstandingLimit = 64;  // a server has fewer outstanding requests
 
-// The table of one route: servers and the running sums of their weights.
+// The table of one route: servers and the prefix sums of their weights.
 struct RouteTable {
   std::vector<std::uint32_t> servers;
-  std::vector<double> sums;  // sums[k]: weights of the lines 0 to k
+  std::vector<double> sums;  // sums[k]: sum of the weights 0 to k
 
   std::uint32_t draw(double at) const {
     const auto it = std::upper_bound(sums.begin(), sums.end(), at * sums.back());
@@ -43,7 +43,7 @@
   }
 };
 
-// xorshift64*, as cheap as a proxy's would be.
+// xorshift64*: a generator cheap enough for the request path of a proxy.
 class FastRandom {
  public:
   explicit FastRandom(std::uint64_t seed) : state_(seed) {}
@@ -58,7 +58,7 @@
   std::uint64_t state_;
 };
 
-// The tables of all routes as one proxy holds them, and the requests that it has outstanding at each server.
+// The tables of all routes in one proxy and its outstanding requests at each server.
 class ReferenceProxy {
  public:
   ReferenceProxy(int routes, int lines, int servers) : outstanding_(static_cast<std::size_t>(servers)) {
@@ -66,7 +66,7 @@
     std::vector<std::uint32_t> all(static_cast<std::size_t>(servers));
     for (std::size_t k = 0; k < all.size(); ++k) all[k] = static_cast<std::uint32_t>(k);
     std::uniform_real_distribution<double> weight(0.5, 2.0);
-    for (int r = 0; r < routes; ++r) {
+    for (int route = 0; route < routes; ++route) {
       std::shuffle(all.begin(), all.end(), source);
       RouteTable table;
       double sum = 0;
@@ -76,36 +76,41 @@
       }
       tables_.push_back(std::move(table));
     }
-    for (std::uint32_t& busy : outstanding_) busy = static_cast<std::uint32_t>(source() % kBusyMost);
+    for (std::uint32_t& count : outstanding_)
+      count = static_cast<std::uint32_t>(source() % kOutstandingLimit);
     for (int k = 0; k < kKeys; ++k)
       routes_.push_back(static_cast<std::uint32_t>(source() % static_cast<std::uint64_t>(routes)));
   }
 
-  // The reference pick: two drawn by weight, the one with fewer requests outstanding.
+  // The reference pick: draws two servers by weight and returns the one with fewer outstanding requests.
   std::uint32_t pick() {
     const RouteTable& table = tables_[routes_[next_++ % kKeys]];
-    const std::uint32_t first = table.draw(random_.uniform()), second = table.draw(random_.uniform());
+    const std::uint32_t first = table.draw(random_.uniform());
+    const std::uint32_t second = table.draw(random_.uniform());
     return outstanding_[second] < outstanding_[first] ? second : first;
   }
 
-  // Bytes of tables and counters.
+  // Memory of the tables and counters, in bytes.
   std::size_t bytes() const {
     std::size_t sum = outstanding_.size() * sizeof(std::uint32_t);
-    for (const RouteTable& t : tables_)
-      sum += sizeof t + t.servers.size() * sizeof(std::uint32_t) + t.sums.size() * sizeof(double);
+    for (const RouteTable& table : tables_)
+      sum += sizeof table + table.servers.size() * sizeof(std::uint32_t) + table.sums.size() * sizeof(double);
     return sum;
   }
 
  private:
   std::vector<RouteTable> tables_;
-  std::vector<std::uint32_t> outstanding_, routes_;
+  std::vector<std::uint32_t> outstanding_;  // requests by server
+  std::vector<std::uint32_t> routes_;       // requested routes
   FastRandom random_{kSeed};
   std::size_t next_ = 0;
 };
 
 struct Options {
-  std::string revision, results;
-  int routes = 700, servers = 1500;
+  std::string revision;
+  std::string results;
+  int routes = 700;
+  int servers = 1500;
   std::vector<int> lines{2, 23, 188, 375, 750, 1500};
 };
 Options options;
@@ -120,9 +125,12 @@
   return values[static_cast<std::size_t>(at)];
 }
 
-// One repetition's figures, in nanoseconds a pick.
+// Results of one repetition: percentiles in nanoseconds per pick, and its duration.
 struct PickTimes {
-  double p50 = 0, p99 = 0, singleP99 = 0, seconds = 0;
+  double p50 = 0;
+  double p99 = 0;
+  double singleP99 = 0;
+  double seconds = 0;
 };
 
 PickTimes measure(ReferenceProxy& proxy, benchmark::State& state) {
@@ -132,9 +140,9 @@
   for (auto _ : state) {
     const auto from = SteadyClock::now();
     for (int k = 0; k < kBatchPicks; ++k) benchmark::DoNotOptimize(proxy.pick());
-    const double took = nanosecondsSince(from);
-    state.SetIterationTime(took / 1e9);
-    batches.push_back(took / kBatchPicks);
+    const double elapsed = nanosecondsSince(from);
+    state.SetIterationTime(elapsed / 1e9);
+    batches.push_back(elapsed / kBatchPicks);
   }
   std::vector<double> singles;
   singles.reserve(kSinglePicks);
@@ -147,8 +155,8 @@
   return {percentile(batches, 0.5), percentile(batches, 0.99), percentile(singles, 0.99), seconds};
 }
 
-// One line of results, see scale/report/results.py for the form.
-void append(int lines, int repetition, const PickTimes& times, std::size_t bytes) {
+// Appends one line of results; scale/report/results.py documents the format.
+void appendResult(int lines, int repetition, const PickTimes& times, std::size_t bytes) {
   if (options.results.empty()) return;
   struct sysinfo machine {};
   sysinfo(&machine);
@@ -173,7 +181,7 @@
   state.counters["p50_ns"] = times.p50;
   state.counters["p99_ns"] = times.p99;
   state.counters["single_p99_ns"] = times.singleP99;
-  append(lines, repetition, times, proxy.bytes());
+  appendResult(lines, repetition, times, proxy.bytes());
 }
 
 }  // namespace
--- a/bench/zone_bench.cpp
+++ b/bench/zone_bench.cpp
@@ -1,5 +1,5 @@
-// Zones of one's own: updates a second with sync on, recovery by size, and how soon an accepted update is an
-// order at the relay. Prints tables for docs/results.md.
+// Measures zones served by the supervisor: dynamic updates per second with sync, recovery time by zone size,
+// and the time from an accepted update to the routes at the relay. Prints tables for docs/results.md.
 #include <sys/stat.h>
 
 #include <CLI/CLI.hpp>
@@ -24,6 +24,7 @@
 constexpr Micros kSecond = 1000000;
 const char* const kSecret = "MDEyMzQ1Njc4OWFiY2RlZg==";
 
+// A private folder, removed by the destructor.
 struct Folder {
   std::string path;
   explicit Folder(const std::string& name)
@@ -35,58 +36,58 @@
   ~Folder() { std::filesystem::remove_all(path); }
 };
 
-dns_zone::Key key() {
-  dns_zone::Key k;
-  k.name = "ops";
-  k.secret = std::make_shared<dns_zone::Secret>("0123456789abcdef");
-  return k;
+dns_zone::Key makeKey() {
+  dns_zone::Key key;
+  key.name = "ops";
+  key.secret = std::make_shared<dns_zone::Secret>("0123456789abcdef");
+  return key;
 }
 
-std::string request(const std::string& script, std::uint16_t id, std::int64_t now) {
-  std::vector<std::string> problems;
-  dns_zone::Message m = zone_server::readUpdateScript(script, "s", "example.org", problems);
-  m.id = id;
+std::string signedRequest(const std::string& script, std::uint16_t id, std::int64_t now) {
+  std::vector<std::string> errors;
+  dns_zone::Message message = zone_server::readUpdateScript(script, "s", "example.org", errors);
+  message.id = id;
   std::string mac;
-  return dns_zone::sign(dns_zone::encodeMessage(m), key(), now, mac);
+  return dns_zone::sign(dns_zone::encodeMessage(message), makeKey(), now, mac);
 }
 
-std::string add(int k) {
+std::string addScript(int k) {
   const std::string host = "bello-" + std::to_string(k);
   return "add " + host + " 60 A 10.1." + std::to_string(k / 250 % 250) + "." + std::to_string(k % 250) +
          "\nadd _o._tcp 60 SRV 0 10 3000 " + host + "\n";
 }
 
-op::Operator operatorOf(const std::string& root, const net::Address& at) {
+op::Operator makeOperator(const std::string& root, const net::Address& at) {
   std::ofstream(root + "/keys") << "key \"ops\" secret=\"" << kSecret << "\"\n";
   chmod((root + "/keys").c_str(), 0600);
   op::Operator op;
   op.roster = false;
   op::Place place;
   place.zone = "a";
-  op::Zone z;
-  z.label = "orders";
-  z.origin = "example.org";
-  z.services = {"_o._tcp.example.org"};
-  z.places = {place};
-  z.state = root;
-  z.keys = root + "/keys";
-  z.listen = at;
-  z.grants = {{"ops", "*.example.org", {}}};
-  op.zones = {z};
+  op::Zone zone;
+  zone.label = "orders";
+  zone.origin = "example.org";
+  zone.services = {"_o._tcp.example.org"};
+  zone.places = {place};
+  zone.state = root;
+  zone.keys = root + "/keys";
+  zone.listen = at;
+  zone.grants = {{"ops", "*.example.org", {}}};
+  op.zones = {zone};
   return op;
 }
 
-// Single: the next is sent when the last was answered. Else so many are under way.
+// Sends the next update when one has been answered, with a fixed number of updates in flight.
 void updates() {
   std::cout << "| under way | updates a second | updates a batch (one sync each) | median answer us |\n"
                "| --- | --- | --- | --- |\n";
-  for (const std::size_t underWay : {1u, 8u, 64u, 256u}) {
+  for (const std::size_t inFlight : {1u, 8u, 64u, 256u}) {
     const Folder folder("updates");
     Loop loop;
     ReadLog log;
     const discovery::Names names = testNames();
     dispatch::Dispatcher exchange;
-    const op::Operator op = operatorOf(folder.path, {"127.0.0.1", 0});
+    const op::Operator op = makeOperator(folder.path, {"127.0.0.1", 0});
     const EndpointListUpdate known;
     const std::vector<std::string> endpoints;
     std::mt19937 random(1);
@@ -96,41 +97,44 @@
                              [&random] { return static_cast<std::uint32_t>(random()); });
     const auto& zone = sources.zones().front();
     loop.until([&] { return zone.address().has_value(); });
-    std::size_t sent = 0, answered = 0, good = 0;
-    std::map<std::uint16_t, Micros> since;
-    std::vector<Micros> took;
+    std::size_t sent = 0;
+    std::size_t answered = 0;
+    std::size_t accepted = 0;
+    std::map<std::uint16_t, Micros> sentAt;
+    std::vector<Micros> times;
     net::Datagram::Handlers handlers;
     std::unique_ptr<net::Datagram> udp;
     const auto send = [&] {
       ++sent;
       const auto id = static_cast<std::uint16_t>(sent);
-      // Renewals of a few names, as deploys make them: the zone stays small.
+      // The updates renew a few names, as deployments do, so the zone stays small.
       const std::string script = "add bello-" + std::to_string(sent % 100) + " " +
                                  std::to_string(60 + sent / 100 % 1000) + " A 10.1.0." +
                                  std::to_string(sent % 100) + "\n";
-      since[id] = net::steadyNow();
-      udp->send(request(script, id, (base + net::steadyNow()) / kSecond));
+      sentAt[id] = net::steadyNow();
+      udp->send(signedRequest(script, id, (base + net::steadyNow()) / kSecond));
     };
     handlers.data = [&](const std::string& bytes) {
       const auto m = dns_zone::decodeMessage(bytes);
       if (!m) return;
       ++answered;
-      good += m->rcode == dns_zone::Rcode::NoError;
-      took.push_back(net::steadyNow() - since[m->id]);
+      accepted += m->rcode == dns_zone::Rcode::NoError;
+      times.push_back(net::steadyNow() - sentAt[m->id]);
       send();
     };
     udp = std::make_unique<net::Datagram>(
         loop.base.get(), *zone.address(), [&random] { return static_cast<std::uint32_t>(random()); },
         std::move(handlers));
     const Micros from = net::steadyNow();
-    for (std::size_t k = 0; k < underWay; ++k) send();
+    for (std::size_t k = 0; k < inFlight; ++k) send();
     loop.until([&] { return net::steadyNow() > from + 5 * kSecond; });
     const double seconds = static_cast<double>(net::steadyNow() - from) / 1e6;
-    std::sort(took.begin(), took.end());
-    std::cout << "| " << underWay << " | " << static_cast<long>(static_cast<double>(good) / seconds) << " | "
+    std::sort(times.begin(), times.end());
+    std::cout << "| " << inFlight << " | " << static_cast<long>(static_cast<double>(accepted) / seconds)
+              << " | "
               << static_cast<double>(zone.counts().accepted) /
                      static_cast<double>(std::max<std::uint64_t>(1, zone.counts().batches))
-              << " | " << (took.empty() ? 0 : took[took.size() / 2]) << " |\n"
+              << " | " << (times.empty() ? 0 : times[times.size() / 2]) << " |\n"
               << std::flush;
   }
 }
@@ -143,7 +147,8 @@
   return 0;
 }
 
-// Written, then read back as a start does: snapshot, 1,000 changes behind it, both zones of the processor.
+// Writes a snapshot and 1,000 journal entries, then reads them as a start does, up to the update processor
+// with its durable and its pending zone.
 void recovery(int records) {
   const Folder folder("recovery");
   files::Outcome outcome;
@@ -188,21 +193,24 @@
   const std::size_t bytes = contents.snapshot.size();
   contents = {};
   const dns_zone::UpdateProcessor processor(std::move(image->zone), {}, {});
-  const Micros took = net::steadyNow() - from;
+  const Micros elapsed = net::steadyNow() - from;
   std::cout << "| " << processor.durable().records() << " | " << bytes / 1024 << " | "
-            << static_cast<double>(took) / 1000 << " | " << (residentKb() - before) / 1024 << " |\n"
+            << static_cast<double>(elapsed) / 1000 << " | " << (residentKb() - before) / 1024 << " |\n"
             << std::flush;
 }
 
-// The whole program: a server is drained by an update; when is its last home moved at the relay?
+// Runs the complete program: an update drains a server. Measures when the last slice of the server has
+// another primary at the relay.
 void following() {
   constexpr int kTrials = 10;
-  std::vector<Micros> toAnswer, toOrder;
+  std::vector<Micros> toAnswer;
+  std::vector<Micros> toRoutes;
   for (int trial = 0; trial < kTrials; ++trial) {
     const Folder folder("following");
     Loop loop;
     fakes::Relay relay(loop.base.get());
-    const net::Address listen{ownHost(), 3000}, updates{ownHost(), 5300};
+    const net::Address listen{ownHost(), 3000};
+    const net::Address updates{ownHost(), 5300};
     const auto id = [](int k) { return "10.1.0." + std::to_string(k) + ":3000"; };
     relay.proxies[0] = {"east", 5, true};
     for (int slice = 0; slice < 8; ++slice) relay.slices[slice] = {{id(slice % 6), "1"}};
@@ -210,8 +218,8 @@
     std::string text{std::istreambuf_iterator<char>(in), {}};
     text = replaced(text, "127.0.0.1:3000", listen.text());
     text = replaced(text, "127.0.0.1:6400", relay.address().text());
-    const Written config("_zbench.json", text),
-        keys("_zbench.keys", std::string("key \"ops\" secret=\"") + kSecret + "\"\n");
+    const Written config("_zbench.json", text);
+    const Written keys("_zbench.keys", std::string("key \"ops\" secret=\"") + kSecret + "\"\n");
     chmod(keys.path.c_str(), 0600);
     const Written op(
         "_zbench.kdl",
@@ -230,18 +238,18 @@
         loop.base.get(), updates, [&port] { return port += 17; }, std::move(handlers));
     const auto now = [] { return static_cast<std::int64_t>(time(nullptr)); };
     std::string all;
-    for (int k = 0; k < 6; ++k) all += add(k);
-    udp.send(request(all, 1, now()));
+    for (int k = 0; k < 6; ++k) all += addScript(k);
+    udp.send(signedRequest(all, 1, now()));
     loop.until([&] { return answers == 1; });
     loop.until([&] { return false; }, 2 * kSecond);
     const Micros from = net::steadyNow();
-    udp.send(request("add bello-1 60 TXT state=draining\n", 2, now()));
+    udp.send(signedRequest("add bello-1 60 TXT state=draining\n", 2, now()));
     loop.until([&] { return answers == 2; });
     toAnswer.push_back(net::steadyNow() - from);
     const bool moved = loop.until(
         [&] {
           for (const auto& [slice, lines] : relay.slices) {
-            // A new home stands beside or in place of the old one.
+            // Another server carries the slice, in addition to the drained one or in place of it.
             bool other = lines.count(id(1)) == 0;
             for (const auto& [server, weight] : lines)
               other = other || (server != id(1) && std::atof(weight.c_str()) >= 1);
@@ -250,9 +258,9 @@
           return true;
         },
         10 * kSecond);
-    if (moved) toOrder.push_back(net::steadyNow() - from);
+    if (moved) toRoutes.push_back(net::steadyNow() - from);
   }
-  for (auto* all : {&toAnswer, &toOrder}) std::sort(all->begin(), all->end());
+  for (auto* all : {&toAnswer, &toRoutes}) std::sort(all->begin(), all->end());
   std::cout << "| what | median ms | longest ms | of |\n| --- | --- | --- | --- |\n";
   const auto row = [&](const char* what, const std::vector<Micros>& all) {
     if (all.empty()) return;
@@ -260,21 +268,22 @@
               << static_cast<double>(all.back()) / 1000 << " | " << all.size() << " |\n";
   };
   row("update sent to its answer", toAnswer);
-  row("update sent to every slice with another home", toOrder);
+  row("update sent to every slice with another home", toRoutes);
 }
 
 }  // namespace
 }  // namespace peargrade
 
 int main(int argc, char** argv) {
-  CLI::App app("measurements of zones, on fakes");
+  CLI::App app("Measures zones with fake peers");
   app.require_subcommand(1);
   int records = 10000;
-  app.add_subcommand("updates", "a second, with sync on")->callback(peargrade::updates);
-  CLI::App* recovery = app.add_subcommand("recovery", "time and memory by size");
+  app.add_subcommand("updates", "updates per second, with sync")->callback(peargrade::updates);
+  CLI::App* recovery = app.add_subcommand("recovery", "time and memory by zone size");
   recovery->add_option("--records", records)->capture_default_str();
   recovery->callback([&] { peargrade::recovery(records); });
-  app.add_subcommand("following", "from an update to the relay")->callback(peargrade::following);
+  app.add_subcommand("following", "time from an update to the routes at the relay")
+      ->callback(peargrade::following);
   CLI11_PARSE(app, argc, argv);
   return 0;
 }
