--- a/src/dns_zone/master_file.cpp
+++ b/src/dns_zone/master_file.cpp
@@ -325,7 +325,7 @@
       } else if (hasLastTtl_) {
         r.ttl = lastTtl_;
       } else if (*type == Type::SOA) {
-        r.ttl = soaOf(r.data)->negative;  // default without $TTL
+        r.ttl = soaOf(r.data)->negative;  // default if no TTL is stated (RFC 2308)
       } else {
         return addMistake(c.path, typeWord, "a record without a TTL",
                           "a TTL before the type, or $TTL before the record");
