--- a/src/clients/connection.h
+++ b/src/clients/connection.h
@@ -1,4 +1,4 @@
-/// State of one connection to the supervisor's address.
+/// State of one connection that the report server has accepted.
 #pragma once
 
 #include <memory>
@@ -10,11 +10,11 @@
 
 namespace peargrade::clients {
 
-/// What a peer has shown to be. It starts as Unidentified; a heartbeat makes it a HealthChecker, a join a
-/// Collector. It never goes back.
+/// What kind of client a peer is, judged by its messages. A peer starts as Unidentified; a heartbeat makes it
+/// a HealthChecker, a join makes it a Collector. A peer never returns to an earlier role.
 enum class Role { Unidentified, HealthChecker, Collector };
 
-/// The role as log lines name it.
+/// The name of `role` in log lines.
 inline const char* roleName(Role role) {
   switch (role) {
     case Role::Unidentified:
@@ -27,23 +27,23 @@
   return "unknown";
 }
 
-/// Owned by ConnectionTable; ReportServer writes it but for `bufferedBytes`. Times are in microseconds of the
-/// report server's clock.
+/// Owned by ConnectionTable, which maintains `bufferedBytes`; ReportServer maintains the other members. Times
+/// are in microseconds of the report server's clock.
 struct Connection {
   std::string peer;  ///< Address and port, for log lines.
   std::unique_ptr<net::Stream> stream;
   FrameDecoder decoder;
   Role role = Role::Unidentified;
-  /// Heartbeats not answered yet.
+  /// Heartbeats received and not answered yet.
   int pendingHeartbeats = 0;
-  /// Consecutive frames that are no JSON.
+  /// Number of consecutive frames whose body was not JSON.
   int malformedFrames = 0;
   Micros acceptedAt = 0;
-  /// Last valid message; the accept before the first.
+  /// Time of the last valid message, or of the accept if there was none.
   Micros lastActivity = 0;
-  /// Arrival of the first byte of an incomplete message; 0 without one.
+  /// Time at which the incomplete message began to arrive; 0 if no message is incomplete.
   Micros messageStartedAt = 0;
-  /// Memory of the incomplete message as counted in ConnectionTable::bufferedBytes().
+  /// Memory of the incomplete message, in bytes, as included in ConnectionTable::bufferedBytes().
   std::size_t bufferedBytes = 0;
 };
 
--- a/src/clients/connection_table.cpp
+++ b/src/clients/connection_table.cpp
@@ -5,7 +5,7 @@
 namespace peargrade::clients {
 namespace {
 
-// Each look at unread input is a system call.
+// Limits the cost of one search: each check for unread input is a system call.
 constexpr int kUnreadInputChecksMax = 32;
 
 }  // namespace
--- a/src/clients/connection_table.h
+++ b/src/clients/connection_table.h
@@ -1,4 +1,4 @@
-/// The open connections of the report server, and which of them is closed first when a limit is reached.
+/// The open connections of the report server, and the choice of the one to close when a limit is reached.
 #pragma once
 
 #include <list>
@@ -8,29 +8,32 @@
 
 namespace peargrade::clients {
 
-/// Holds connections in the order of their accept. Used by ReportServer on the event loop's thread.
+/// Keeps connections in the order in which they were accepted. ReportServer uses it on the event loop's
+/// thread.
 class ConnectionTable {
  public:
-  using Iterator = std::list<Connection>::iterator;  ///< Valid until that connection is removed.
+  /// Stays valid until its connection is removed.
+  using Iterator = std::list<Connection>::iterator;
 
-  /// Adds a connection without a stream.
+  /// Adds a connection that was accepted at `now`; the caller sets its stream.
   Iterator add(const std::string& peer, Micros now);
-  /// Removes the connection and closes its stream, if it still has one.
+  /// Removes the connection. Closes its stream unless the caller has moved the stream out.
   void remove(Iterator connection);
 
-  /// Updates the memory accounted to the connection's incomplete message.
+  /// Recomputes the memory of the connection's incomplete message; called after its decoder has changed.
   void updateBufferedBytes(Iterator connection);
-  /// Memory of incomplete messages over all connections, in bytes.
+  /// Memory of the incomplete messages of all connections, in bytes.
   std::size_t bufferedBytes() const { return bufferedBytes_; }
 
-  /// Which connection makes room for a new one: the oldest unidentified peer, else the oldest health checker,
-  /// else the collector with the oldest activity. The table must not be empty.
+  /// The connection to close in favor of a new one: the oldest unidentified peer, else the oldest health
+  /// checker, else the collector whose last valid message is oldest. The table must not be empty.
   Iterator evictionCandidate();
-  /// The oldest connection in `role`; end() if there is none. Unidentified peers without unread input come
-  /// first: input may hold a join.
+  /// The connection in `role` that was accepted first; end() if there is none. Among unidentified peers,
+  /// those without unread input are preferred, because unread input may contain a join.
   Iterator oldest(Role role);
-  /// The connection whose incomplete message holds most memory. The table must not be empty.
+  /// The connection whose incomplete message uses the most memory. The table must not be empty.
   Iterator largestBuffer();
+  /// Number of connections in `role`.
   std::size_t count(Role role) const;
 
   Iterator begin() { return connections_.begin(); }
--- a/src/clients/discard_log.cpp
+++ b/src/clients/discard_log.cpp
@@ -13,7 +13,7 @@
   ++notYetLogged_;
   if (loggedAt_ != 0 && now - loggedAt_ < kLogInterval) return;
   loggedAt_ = now;
-  log_.warn("clients") << "discarded " << notYetLogged_ << " messages; last from " << peer << ": "
+  log_.warn("clients") << "discarded " << notYetLogged_ << " invalid messages; last from " << peer << ": "
                        << error.substr(0, kLoggedErrorMax);
   notYetLogged_ = 0;
 }
--- a/src/clients/discard_log.h
+++ b/src/clients/discard_log.h
@@ -9,22 +9,23 @@
 
 namespace peargrade::clients {
 
-/// Counts messages of collectors that are complete but invalid, and logs at most one line a second for all of
-/// them.
+/// Counts complete but invalid messages of collectors. Logs at most one line per second for all collectors
+/// together, so that a faulty collector cannot flood the log.
 class DiscardLog {
  public:
   explicit DiscardLog(log::Log& log) : log_(log) {}
 
-  /// `error`: why the message is invalid. `now`: microseconds of the report server's clock.
+  /// Counts one discarded message of `peer`. `error`: why the message is invalid. `now`: microseconds of the
+  /// report server's clock.
   void record(const std::string& peer, const std::string& error, Micros now);
-  /// Messages discarded so far.
+  /// Number of messages discarded so far.
   std::uint64_t total() const { return total_; }
 
  private:
   log::Log& log_;
   std::uint64_t total_ = 0;
   std::uint64_t notYetLogged_ = 0;
-  Micros loggedAt_ = 0;  // 0: never
+  Micros loggedAt_ = 0;  // time of the last line; 0 if no line was logged
 };
 
 }  // namespace peargrade::clients
--- a/src/clients/limits.h
+++ b/src/clients/limits.h
@@ -1,4 +1,4 @@
-/// Limits of the report server: what one client, and all clients together, may hold and for how long.
+/// Resource and time limits of the report server, for one client and for all clients together.
 #pragma once
 
 #include <cstddef>
@@ -7,35 +7,39 @@
 
 namespace peargrade::clients {
 
-/// Durations are in microseconds. Ages run from the accept or from the first byte of a message, so that a
-/// slow sender does not prolong them. docs/service.md lists the limits for operators.
+/// Durations are in microseconds. Ages are measured from the accept or from the start of a message, so that a
+/// client cannot extend them by sending slowly. docs/service.md lists the limits for operators.
 struct ReportServerLimits {
-  /// Open connections, including those in a lingering close.
+  /// Maximum number of open connections, including those in a lingering close.
   std::size_t connections = 900;
-  /// Connections taken per turn of the event loop, so that a flood leaves others their turn.
+  /// Connections accepted per event loop iteration, so that a flood of connections does not delay other
+  /// events.
   std::size_t acceptsPerTurn = 64;
 
-  /// Memory of incomplete messages over all connections, in bytes.
+  /// Memory of the incomplete messages of all connections, in bytes.
   std::size_t incompleteMessageBytes = 24 << 20;
-  /// Message of a peer that has not joined as a collector, in bytes.
+  /// Length of a message of a peer that has not joined as a collector, in bytes.
   std::size_t messageBytesBeforeJoin = 4096;
-  /// Replies that a peer has not read, in bytes.
+  /// Replies queued for a peer that does not read them, in bytes.
   std::size_t unsentReplyBytes = 64 << 10;
-  /// Consecutive frames of a collector that are no JSON; the framing is lost then.
+  /// Consecutive frames of a collector whose body is not JSON. At this number the stream is assumed to have
+  /// lost its framing, and the connection is closed.
   int consecutiveMalformedFrames = 3;
 
-  /// Without a join or a heartbeat: 1.5 s. The protocol grants 1 s.
+  /// Age at which a peer that has sent neither a join nor a heartbeat is rejected: 1.5 s. The protocol allows
+  /// clients 1 s.
   Micros unidentifiedAge = 1500000;
-  /// With heartbeats only: 10 s.
+  /// Age at which a peer that has sent heartbeats but no join is closed: 10 s.
   Micros healthCheckerAge = 10000000;
-  /// From the first byte of a message to its last: 1 s.
+  /// Time from the first byte of a message to its last: 1 s.
   Micros messageDuration = 1000000;
-  /// Without a message of a collector: 30 s. The protocol has no keep-alive for collectors.
+  /// Time without a valid message after which a collector is closed: 30 s. The protocol has no keep-alive for
+  /// collectors.
   Micros collectorSilence = 30000000;
-  /// Between two checks of the ages: 0.1 s.
+  /// Interval between two checks of the age limits: 0.1 s.
   Micros sweepInterval = 100000;
 
-  /// Lingering close of a rejected connection: 0.5 s.
+  /// Duration of the lingering close of a rejected connection: 0.5 s.
   Micros lingerDuration = 500000;
   /// Input discarded during a lingering close, in bytes.
   std::size_t lingerBytes = 256 << 10;
--- a/src/clients/lingering_closer.h
+++ b/src/clients/lingering_closer.h
@@ -9,19 +9,20 @@
 
 namespace peargrade::clients {
 
-/// Keeps half-closed streams open and discards their input until the peer closes. A close with unread input
-/// would send a TCP reset, which may destroy the rejection before the peer reads it. Bounded per stream in
-/// time and in bytes. Used by ReportServer on the event loop's thread.
+/// Keeps half-closed streams open and discards their input until the peer closes. Closing a socket that has
+/// unread input sends a TCP reset, and the peer may then lose the rejection before it has read it. Each
+/// stream is limited in time and in discarded bytes. ReportServer uses it on the event loop's thread.
 class LingeringCloser {
  public:
-  /// `duration`: microseconds that a stream may linger. `inputBytes`: input discarded per stream.
+  /// `duration`: maximum time that a stream lingers, in microseconds. `inputBytes`: maximum input discarded
+  /// for a stream, in bytes. A stream that reaches either limit is closed.
   LingeringCloser(Micros duration, std::size_t inputBytes) : duration_(duration), inputBytes_(inputBytes) {}
 
-  /// Takes a stream whose own half is closed.
+  /// Takes ownership of a stream whose sending half is closed, and replaces its handlers.
   void add(std::unique_ptr<net::Stream> stream, Micros now);
-  /// Closes the streams that have lingered longer than allowed.
+  /// Closes the streams that have lingered longer than the duration limit.
   void closeExpired(Micros now);
-  /// Closes the stream that was added first. There must be one.
+  /// Closes the stream that was added first. The closer must not be empty.
   void closeOldest() { streams_.pop_front(); }
 
   std::size_t size() const { return streams_.size(); }
--- a/src/clients/messages.h
+++ b/src/clients/messages.h
@@ -1,4 +1,4 @@
-/// Messages that collectors and health checkers send to the supervisor's address, and their JSON parser.
+/// Messages that collectors and health checkers send to the report server, and their JSON parser.
 #pragma once
 
 #include <string>
@@ -9,18 +9,20 @@
 
 namespace peargrade::clients {
 
-/// A liveness question, by anyone on any connection. Wire: `hb`.
+/// A health check request; any peer may send it at any time. Wire name: `hb`.
 struct Heartbeat {};
 
-/// A collector states its zone; its load reports are accepted from then on. Wire: `telemetry`.
+/// A collector's first message, which states its zone; only then are its load reports accepted. Wire name:
+/// `telemetry`.
 struct CollectorJoin {
-  int zone = 0;  ///< Index into the zones of the settings.
+  int zone = 0;  ///< Index into the zone names of the settings.
 };
 
 using Message = std::variant<Heartbeat, CollectorJoin, ServerLoadReport, SliceLoadReport>;
 
-/// Parses the JSON object of one frame. Names become indices into `names`, milliseconds become microseconds.
-/// `slices`: number of slices in the settings. Throws ParseError with the field at fault.
+/// Parses the JSON object in the body of one frame. Converts zone and request class names to indices into
+/// `names`, and milliseconds to microseconds. `slices`: number of slices in the settings. Throws ParseError
+/// that names the invalid field.
 Message parseMessage(const std::string& bytes, const discovery::Names& names, int slices);
 
 }  // namespace peargrade::clients
--- a/src/clients/report_server.cpp
+++ b/src/clients/report_server.cpp
@@ -9,11 +9,14 @@
 const std::string kHeartbeatReply = encodeFrame(R"({"type":"hb_ok"})");
 const std::string kRejection = encodeFrame(R"({"type":"reject"})");
 
-constexpr std::size_t kReadSize = 16384;   // bytes
-constexpr int kPendingHeartbeatsMax = 64;  // per connection, until the supervisor is ready
-constexpr Micros kProcessPause = 500000;   // 0.5 s; a sweep later than this shows that the process was paused
-constexpr std::size_t kLoggedDetailMax = 200;      // characters
-constexpr std::size_t kHealthCheckerFraction = 4;  // health checkers may hold one in four connections
+constexpr std::size_t kReadSize = 16384;  // bytes
+// Heartbeats of one connection that are remembered until the supervisor is ready to answer them.
+constexpr int kPendingHeartbeatsMax = 64;
+// A sweep that runs this much later than scheduled means that the process was paused: 0.5 s.
+constexpr Micros kProcessPause = 500000;
+constexpr std::size_t kLoggedDetailMax = 200;  // characters
+// Health checkers may hold one connection in four.
+constexpr std::size_t kHealthCheckerFraction = 4;
 
 }  // namespace
 
@@ -31,7 +34,9 @@
       discards_(log),
       listener_(base, address, limits.acceptsPerTurn,
                 {[this](evutil_socket_t socket, const std::string& peer) { accept(socket, peer); },
-                 [this](const std::string& error) { log_.error("clients") << "cannot accept: " << error; }}),
+                 [this](const std::string& error) {
+                   log_.error("clients") << "cannot accept a connection: " << error;
+                 }}),
       sweepTimer_(base, [this] { sweep(); }) {
   dispatcher_.onReady([this] {
     for (Iterator next = connections_.begin(); next != connections_.end();) answerHeartbeats(next++);
@@ -90,11 +95,14 @@
   connections_.updateBufferedBytes(connection);
   const std::size_t length = decoder.announcedLength();
   if (result == FrameDecoder::Result::TooLong)
-    return reject(connection, log::CloseReason::BadLength, "message of " + std::to_string(length) + " bytes");
-  // Joins and heartbeats are short. Long messages of peers that have not joined would only take memory.
+    return reject(connection, log::CloseReason::BadLength,
+                  "message of " + std::to_string(length) + " bytes, limit " + std::to_string(kFrameBodyMax));
+  // Joins and heartbeats are short. A longer message before joining is invalid; reject it before buffering
+  // it.
   if (connection->role != Role::Collector && length > limits_.messageBytesBeforeJoin)
     return reject(connection, log::CloseReason::BadLength,
-                  "message of " + std::to_string(length) + " bytes before joining");
+                  "message of " + std::to_string(length) + " bytes before joining, limit " +
+                      std::to_string(limits_.messageBytesBeforeJoin));
   if (!decoder.hasPartialFrame())
     connection->messageStartedAt = 0;
   else if (connection->messageStartedAt == 0)
@@ -102,7 +110,7 @@
   return Status::Open;
 }
 
-// Collectors are closed too: each may hold an incomplete message of 1 MiB.
+// The limit applies to collectors as well, because each may have an incomplete message of up to 1 MiB.
 void ReportServer::enforceBufferLimit(Iterator current) {
   while (connections_.bufferedBytes() > limits_.incompleteMessageBytes) {
     const Iterator largest = connections_.largestBuffer();
@@ -112,8 +120,9 @@
   }
 }
 
-// An invalid message of a collector is discarded and the connection stays. After several consecutive frames
-// that are no JSON, the stream has lost its framing. A peer that has not joined is rejected at once.
+// An invalid message of a collector is discarded and its connection stays open. Several consecutive frames
+// that are not JSON mean that the stream has lost its framing; the connection is then closed. A peer that has
+// not joined is rejected after its first invalid message.
 ReportServer::Status ReportServer::onFrame(Iterator connection, const std::string& frame) {
   if (log_.shows(log::Level::Debug)) log_.debug("clients") << frame;
   try {
@@ -154,7 +163,8 @@
   return answerHeartbeats(connection);
 }
 
-// Peers that send a heartbeat and stay would otherwise take the places of collectors.
+// Without this limit, peers that send a heartbeat and stay connected could use up the connections that
+// collectors need.
 ReportServer::Status ReportServer::limitHealthCheckers(Iterator newest) {
   const std::size_t limit = std::max<std::size_t>(1, limits_.connections / kHealthCheckerFraction);
   if (connections_.count(Role::HealthChecker) <= limit) return Status::Open;
@@ -164,13 +174,15 @@
   return isNewest ? Status::Closed : Status::Open;
 }
 
-// Heartbeats wait until the supervisor can act on reports.
+// Heartbeats are answered only once the supervisor is ready, that is, able to act on load reports.
 ReportServer::Status ReportServer::answerHeartbeats(Iterator connection) {
   if (!dispatcher_.ready()) return Status::Open;
   for (; connection->pendingHeartbeats > 0; --connection->pendingHeartbeats)
     connection->stream->send(kHeartbeatReply);
   if (connection->stream->unsent() <= limits_.unsentReplyBytes) return Status::Open;
-  return end(connection, log::CloseReason::SlowReader, "peer does not read replies");
+  return end(connection, log::CloseReason::SlowReader,
+             std::to_string(connection->stream->unsent()) + " bytes of replies unread, limit " +
+                 std::to_string(limits_.unsentReplyBytes));
 }
 
 ReportServer::Status ReportServer::reject(Iterator connection, log::CloseReason reason,
@@ -199,7 +211,8 @@
   const Micros now = clock_();
   sweepTimer_.schedule(limits_.sweepInterval);
   lingering_.closeExpired(now);
-  // After a pause of this process, input that arrived meanwhile is read before ages count.
+  // After a pause of this process, skip one sweep: input that arrived during the pause must be read before
+  // the age limits apply.
   const Micros sinceLastSweep = now - std::exchange(sweptAt_, now);
   if (sinceLastSweep > limits_.sweepInterval + kProcessPause) return;
   for (Iterator next = connections_.begin(); next != connections_.end();) enforceAgeLimits(next++, now);
--- a/src/clients/report_server.h
+++ b/src/clients/report_server.h
@@ -1,5 +1,5 @@
-/// The server at the supervisor's own address. It answers health checks and passes collectors' load reports
-/// on to the dispatcher. Peers and messages: kit/real/PROTOCOL.md; limits and log lines: docs/service.md,
+/// The TCP server at the supervisor's listen address. It answers health checks and passes the collectors'
+/// load reports to the dispatcher. Protocol: kit/real/PROTOCOL.md. Limits and log lines: docs/service.md and
 /// docs/oncall.md.
 #pragma once
 
@@ -20,15 +20,15 @@
 
 namespace peargrade::clients {
 
-/// Owned by the supervisor; runs on the event loop's thread. Every connection that ends leaves one log line
-/// with the reason code.
+/// Owned by the supervisor; runs on the event loop's thread. For every connection that ends, it writes one
+/// log line with the close reason.
 class ReportServer {
  public:
   using Limits = ReportServerLimits;
 
-  /// Listens on `address`; port 0 lets the system choose. `names` and `dispatcher` must outlive it. `slices`:
-  /// number of slices in the settings. `clock`: microseconds, monotonic. Throws std::runtime_error if the
-  /// address is unusable.
+  /// Listens on `address`; port 0 selects a free port. `names`, `dispatcher` and `log` must outlive the
+  /// server. `slices`: number of slices in the settings. `clock`: a monotonic clock in microseconds. Throws
+  /// std::runtime_error if it cannot listen on the address.
   ReportServer(event_base* base, const net::Address& address, const discovery::Names& names, int slices,
                dispatch::Dispatcher& dispatcher, log::Log& log, Limits limits,
                std::function<Micros()> clock = net::steadyNow);
@@ -36,18 +36,19 @@
   ReportServer(const ReportServer&) = delete;
   ReportServer& operator=(const ReportServer&) = delete;
 
-  /// Open connections, without those in a lingering close.
+  /// Number of open connections, excluding those in a lingering close.
   std::size_t connections() const { return connections_.size(); }
-  /// Messages of collectors that were complete but invalid.
+  /// Number of complete but invalid messages of collectors.
   std::uint64_t discardedMessages() const { return discards_.total(); }
-  /// The address listened on, with the port in use.
+  /// The address that the server listens on, with the actual port.
   const net::Address& address() const { return listener_.address(); }
-  /// Ends connections that exceed an age limit. Runs by itself every Limits::sweepInterval.
+  /// Closes connections that exceed an age limit. A timer calls it every Limits::sweepInterval.
   void sweep();
 
  private:
   using Iterator = ConnectionTable::Iterator;
-  /// Whether a connection is still in the table after a step; if not, its iterator is invalid.
+  /// Whether a connection is still in the table after a processing step. If it is Closed, its iterator is
+  /// invalid.
   enum class Status { Open, Closed };
 
   void accept(evutil_socket_t socket, const std::string& peer);
@@ -63,9 +64,9 @@
   void enforceBufferLimit(Iterator current);
   void enforceAgeLimits(Iterator connection, Micros now);
 
-  /// Sends a rejection if the peer may receive one, then ends the connection.
+  /// Ends the connection. Sends a rejection first, unless the peer is a collector.
   Status reject(Iterator connection, log::CloseReason reason, const std::string& detail);
-  /// Logs the end and closes.
+  /// Logs the close reason and closes the connection.
   Status end(Iterator connection, log::CloseReason reason, const std::string& detail);
 
   event_base* base_;
--- a/tests/clients/sample_messages.h
+++ b/tests/clients/sample_messages.h
@@ -1,4 +1,4 @@
-// Valid messages in the forms of the protocol page.
+// Valid messages, as kit/real/PROTOCOL.md specifies them.
 #pragma once
 
 namespace peargrade::clients {
